--- a/internal/query/admit.go
+++ b/internal/query/admit.go
@@ -10,21 +10,21 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// Hints for when a caller that was refused may come again. They are spread by
-// half, so that callers refused together do not come back together.
+// Bounds of the RetryAfter hint of a refusal. Up to half of the hint is added at
+// random, so that callers refused together do not retry together.
 const (
-	leastRetryAfter = 50 * time.Millisecond
-	mostRetryAfter  = 5 * time.Second
-	// leaseRetryAfter is about the time in which a lease is renewed.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
+	// leaseRetryAfter is about the interval at which a lease is renewed.
 	leaseRetryAfter = time.Second
 )
 
-// leastTimeLeft is the least time to the deadline with which a request is
-// taken in: less is gone before a back end has read the query.
-const leastTimeLeft = time.Millisecond
+// minTimeLeft is the minimum time to the deadline for admission: a shorter time is
+// used up before a back end has read the query.
+const minTimeLeft = time.Millisecond
 
-// requestArrived admits a request or refuses it at once. The checks are in the
-// order of their cost; nothing is kept of a request that is refused.
+// requestArrived admits a request or refuses it at once. The checks run in order of
+// their cost, and no state is kept for a refused request.
 func (e *Engine) requestArrived(input Request) {
 	route, refusal := e.admit(input)
 	if refusal != nil {
@@ -40,7 +40,7 @@
 }
 
 func (e *Engine) admit(input Request) (*routeView, *verdict.Error) {
-	if refusal := e.refuseAll(); refusal != nil {
+	if refusal := e.refuseIfNotServing(); refusal != nil {
 		return nil, refusal
 	}
 	route, known := e.routes[input.Route]
@@ -57,17 +57,18 @@
 	if left <= 0 {
 		return nil, verdict.Refuse(verdict.ReasonDeadlinePassed, "")
 	}
-	if left < leastTimeLeft {
+	if left < minTimeLeft {
 		return nil, verdict.Refuse(verdict.ReasonDeadlineTooShort, "")
 	}
-	return route, e.refuseForLoad(input, route, left)
+	return route, e.refuseIfOverloaded(input, route, left)
 }
 
-// refuseAll refuses for reasons that hold for every request.
-func (e *Engine) refuseAll() *verdict.Error {
+// refuseIfNotServing returns the refusal that applies to every request while the
+// engine is stopping or has no configuration or valid lease, or nil.
+func (e *Engine) refuseIfNotServing() *verdict.Error {
 	switch {
 	case e.stopping:
-		return e.refusal(verdict.ReasonStopping, leastRetryAfter)
+		return e.refusal(verdict.ReasonStopping, minRetryAfter)
 	case !e.installed || e.now.After(e.leaseUntil):
 		return e.refusal(verdict.ReasonNoLease, leaseRetryAfter)
 	default:
@@ -75,90 +76,90 @@
 	}
 }
 
-// refuseForLoad refuses a request that there is no room for, or that would
-// wait for replicas so long that its deadline is in danger. To refuse it now
-// is cheaper for both sides than to fail it later.
-func (e *Engine) refuseForLoad(input Request, route *routeView, left time.Duration) *verdict.Error {
+// refuseIfOverloaded refuses a request that exceeds the limit on requests in flight,
+// or whose expected wait for replicas endangers its deadline. Refusing it now is
+// cheaper for both sides than failing it later.
+func (e *Engine) refuseIfOverloaded(input Request, route *routeView, left time.Duration) *verdict.Error {
 	priority := route.Policy.Priority
 	if !e.gate.Admits(priority, len(e.requests)) {
-		return e.refuseSurge(route, leastRetryAfter)
+		return e.refuseOverloaded(route, minRetryAfter)
 	}
 	if !e.config.Tuning.limited() {
 		return nil
 	}
-	if len(route.moments) > 0 {
-		// From its first moment on, a policy may answer without the shards that
-		// still wait.
-		left = min(left, route.moments[0])
+	if len(route.elapsedThresholds) > 0 {
+		// From the first elapsed threshold on, a policy may answer without the shards
+		// that are still waiting.
+		left = min(left, route.elapsedThresholds[0])
 	}
-	expected := e.expect(input, route, left)
-	if expected.late == 0 && expected.slow <= expected.spared && e.gate.Feasible(priority, expected.busiest, left) {
+	predicted := e.estimateLoad(input, route, left)
+	if predicted.late == 0 && predicted.slow <= predicted.omittable && e.gate.Feasible(priority, predicted.longestWait, left) {
 		return nil
 	}
-	return e.refuseSurge(route, max(expected.busiest.Wait, expected.latest-left))
+	return e.refuseOverloaded(route, max(predicted.longestWait.Wait, predicted.latest-left))
 }
 
-func (e *Engine) refuseSurge(route *routeView, wait time.Duration) *verdict.Error {
+func (e *Engine) refuseOverloaded(route *routeView, wait time.Duration) *verdict.Error {
 	state := route.service.state
 	state.overloadedUntil = e.now.Add(e.config.Tuning.OverloadHold)
 	e.record(journal.Event{Kind: journal.KindSurgeRefused, Service: route.service.definition.Name, Detail: route.Name})
 	return e.refusal(verdict.ReasonOverloaded, wait)
 }
 
-// expectation is how a request would fare at the shards that it needs.
-type expectation struct {
-	// busiest is the shard with the longest wait for a place.
-	busiest admission.Expectation
-	// late counts the shards whose part is not expected in time because of what
-	// is ahead, and slow those where an attempt itself takes too long. Refusals
-	// do not help the latter, of which the policy may spare some. latest is when
-	// the last part of both is expected.
-	late   int
-	slow   int
-	spared int
-	latest time.Duration
+// loadEstimate predicts how a request would fare at the shards it needs.
+type loadEstimate struct {
+	// longestWait belongs to the shard with the longest wait for a free slot.
+	longestWait admission.Expectation
+	// late counts the shards whose part is not expected in time because of queued
+	// work, slow those where an attempt alone takes too long. Refusing requests does
+	// not help the slow ones; omittable is how many of them the policy can answer
+	// without. latest is the longest expected duration among late and slow shards.
+	late      int
+	slow      int
+	omittable int
+	latest    time.Duration
 }
 
-// expect finds the longest wait of all shards that the request needs, since
-// the slowest one sets its latency, and counts the shards that would be late.
-// For these, what is queued at replicas counts as well: a replica that takes
-// its time makes a request late though nothing waits here.
-func (e *Engine) expect(input Request, route *routeView, left time.Duration) expectation {
-	var found expectation
+// estimateLoad finds the longest wait among the shards that the request needs, since
+// the slowest shard sets its latency, and counts the shards that would be late. That
+// count includes work queued at the replicas: a slow replica makes a request late
+// even if nothing waits in this engine.
+func (e *Engine) estimateLoad(input Request, route *routeView, left time.Duration) loadEstimate {
+	var estimate loadEstimate
 	partitions := route.service.partitions
 	if len(partitions) == 0 {
-		return found
+		return estimate
 	}
 	newest := partitions[len(partitions)-1]
 	first, count := 0, len(newest.Groups)
 	if route.Target == plan.TargetKey {
 		first, count = ShardOfKey(input.Key, count), 1
 	}
-	found.spared = int(float64(count) * route.spared)
+	estimate.omittable = int(float64(count) * route.omittableShare)
 	for index := first; index < first+count; index++ {
 		group := newest.Groups[index]
 		ahead := newest.queues[index].Ahead(route.Policy.Priority)
 		wait := admission.Wait(ahead, group.Slots(), group.Typical())
-		if wait >= found.busiest.Wait {
-			found.busiest = admission.Expectation{Wait: wait, Typical: max(group.Typical(), time.Millisecond)}
+		if wait >= estimate.longestWait.Wait {
+			estimate.longestWait = admission.Expectation{Wait: wait, Typical: max(group.Typical(), time.Millisecond)}
 		}
-		if whole := wholeTime(group, ahead); !e.gate.InTime(route.Policy.Priority, whole, left) {
-			found.latest = max(found.latest, whole)
+		if duration := expectedDuration(group, ahead); !e.gate.InTime(route.Policy.Priority, duration, left) {
+			estimate.latest = max(estimate.latest, duration)
 			if group.Typical() > left {
-				found.slow++
+				estimate.slow++
 			} else {
-				found.late++
+				estimate.late++
 			}
 		}
 	}
-	return found
+	return estimate
 }
 
-// wholeTime is how long a shard's part is expected to take: the wait for a
-// place and at the replica, and the attempt itself. It is 0 where nothing is
-// ahead: however slow the replicas have become, the next attempt finds out how
-// they are now.
-func wholeTime(group *balancer.Group, ahead int) time.Duration {
+// expectedDuration is how long a shard's part is expected to take: the wait for a
+// slot, the queue at the replica and the attempt itself. It is 0 if nothing is
+// queued: however slow the replicas have become, the next attempt measures their
+// present latency.
+func expectedDuration(group *balancer.Group, ahead int) time.Duration {
 	ahead += group.Queued()
 	if ahead == 0 {
 		return 0
@@ -166,18 +167,18 @@
 	return admission.Wait(ahead, group.Slots(), group.Typical()) + group.Typical()
 }
 
-// refusal returns an error for a request of which nothing was sent, with a
-// hint when to come again.
+// refusal returns the error for a request of which nothing was sent, with a
+// RetryAfter hint.
 func (e *Engine) refusal(reason verdict.Reason, wait time.Duration) *verdict.Error {
 	return &verdict.Error{Verdict: verdict.NotRun, Reason: reason, RetryAfter: e.retryAfter(wait)}
 }
 
 func (e *Engine) retryAfter(wait time.Duration) time.Duration {
-	wait = max(min(wait, mostRetryAfter), leastRetryAfter)
+	wait = max(min(wait, maxRetryAfter), minRetryAfter)
 	return wait + time.Duration(e.random.Int64N(int64(wait)/2+1))
 }
 
-// refuse answers a request that was not taken in.
+// refuse answers a request that was not admitted.
 func (e *Engine) refuse(input Request, refusal *verdict.Error) {
 	e.emit(Respond{Request: input.ID, Answer: Answer{
 		Err: refusal, Verdict: refusal.Verdict, ConfigRevision: e.revision,
--- a/internal/query/answer.go
+++ b/internal/query/answer.go
@@ -8,41 +8,41 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// answer ends a request with the parts that are there.
-func (e *Engine) answer(r *request) {
-	answer := e.describe(r)
+// respondWithParts ends a request with the parts received so far.
+func (e *Engine) respondWithParts(r *request) {
+	answer := e.newAnswer(r)
 	if r.covered == 0 {
-		answer.Err = e.failure(answer, mainReason(answer.Missing))
+		answer.Err = e.newFailure(answer, mostFrequentReason(answer.Missing))
 	} else {
 		answer.Items = merge.Parts(r.route.Policy.Merge, r.parts())
 	}
 	e.respond(r, answer)
 }
 
-// giveUp ends a request by the policy's word that its parts are not enough.
-// The caller is told at once, with a hint when to come again.
-func (e *Engine) giveUp(r *request) {
-	answer := e.describe(r)
-	answer.Err = e.failure(answer, verdict.ReasonCoverage)
+// failByPolicy ends a request whose policy rejects its coverage. The caller gets the
+// failure at once, with a RetryAfter hint.
+func (e *Engine) failByPolicy(r *request) {
+	answer := e.newAnswer(r)
+	answer.Err = e.newFailure(answer, verdict.ReasonCoverage)
 	e.respond(r, answer)
 }
 
-// endWith ends a request for a reason that is not of its policy.
-func (e *Engine) endWith(r *request, reason verdict.Reason, detail string) {
-	answer := e.describe(r)
-	answer.Err = e.failure(answer, reason)
+// failWith ends a request for a reason other than its policy.
+func (e *Engine) failWith(r *request, reason verdict.Reason, detail string) {
+	answer := e.newAnswer(r)
+	answer.Err = e.newFailure(answer, reason)
 	answer.Err.Detail = detail
 	e.respond(r, answer)
 }
 
-func (e *Engine) failure(answer Answer, reason verdict.Reason) *verdict.Error {
+func (e *Engine) newFailure(answer Answer, reason verdict.Reason) *verdict.Error {
 	return &verdict.Error{Verdict: answer.Verdict, Reason: reason, RetryAfter: e.retryAfter(0)}
 }
 
-// describe states what is true of a request at this moment.
-func (e *Engine) describe(r *request) Answer {
+// newAnswer returns an answer with the request's current verdict and coverage.
+func (e *Engine) newAnswer(r *request) Answer {
 	answer := Answer{
-		Verdict:        r.verdictNow(),
+		Verdict:        r.currentVerdict(),
 		Late:           e.now.After(r.deadline),
 		Attempts:       r.counts,
 		Elapsed:        e.now.Sub(r.arrived),
@@ -62,7 +62,7 @@
 		shard := &r.shards[index]
 		if shard.phase == shardCovered {
 			answer.Covered = append(answer.Covered, ShardCoverage{
-				Shard: shard.group.Shard, Name: shard.group.Name, Items: len(shard.items), Elapsed: shard.took,
+				Shard: shard.group.Shard, Name: shard.group.Name, Items: len(shard.items), Elapsed: shard.elapsed,
 			})
 			continue
 		}
@@ -73,7 +73,7 @@
 	return answer
 }
 
-// missingReason says why a shard is not covered at the moment of the answer.
+// missingReason returns why a shard is not covered at the time of the answer.
 func (s *shardState) missingReason() verdict.Reason {
 	switch {
 	case s.phase == shardWaiting:
@@ -87,8 +87,9 @@
 	}
 }
 
-// mainReason returns the most frequent reason, of equals the first.
-func mainReason(missing []MissingShard) verdict.Reason {
+// mostFrequentReason returns the most frequent reason, or the first of several
+// equally frequent ones.
+func mostFrequentReason(missing []MissingShard) verdict.Reason {
 	counts := make(map[verdict.Reason]int)
 	for _, shard := range missing {
 		counts[shard.Reason]++
@@ -112,34 +113,35 @@
 	return parts
 }
 
-// respond gives the request its one answer and lets go of what is still out.
+// respond sends the request's only answer and releases its queue entries and
+// attempts.
 func (e *Engine) respond(r *request, answer Answer) {
-	e.recordCoverage(r, answer)
+	e.recordIncompleteAnswer(r, answer)
 	e.emit(Respond{Request: r.ID, Answer: answer})
 	delete(e.requests, r.ID)
 	claimed := r.phase == phaseRunning && r.route.Policy.Once
 	for index := range r.shards {
-		e.leaveQueue(r, &r.shards[index])
+		e.dequeue(r, &r.shards[index])
 		e.cancelShard(r, &r.shards[index])
 	}
 	if !claimed {
 		e.detachAttempts(r)
-		e.discard(r)
+		e.releaseRequest(r)
 		return
 	}
 	r.phase = phaseSettling
 	e.settling++
-	e.settleIfKnown(r)
+	e.settleClaimIfResolved(r)
 }
 
-// recordCoverage journals an answer that is short of its policy, by the first
-// shard that it misses.
-func (e *Engine) recordCoverage(r *request, answer Answer) {
+// recordIncompleteAnswer journals an answer whose coverage is below its policy, with
+// the first missing shard.
+func (e *Engine) recordIncompleteAnswer(r *request, answer Answer) {
 	if r.partition == nil || r.phase != phaseRunning {
 		return
 	}
-	short := answer.Err != nil || float64(r.covered) < r.route.wanted*float64(len(r.shards))
-	if answer.Complete || !short || (answer.Err != nil && answer.Err.Reason == verdict.ReasonCanceled) {
+	belowPolicy := answer.Err != nil || float64(r.covered) < r.route.maxCoverage*float64(len(r.shards))
+	if answer.Complete || !belowPolicy || (answer.Err != nil && answer.Err.Reason == verdict.ReasonCanceled) {
 		return
 	}
 	event := journal.Event{
@@ -154,16 +156,16 @@
 	e.record(event)
 }
 
-// callerGone ends a request that nobody waits for. It still gets an answer,
-// with reason canceled, so that every request has exactly one; the shell drops
-// it if the caller can not be reached.
-func (e *Engine) callerGone(id RequestID) {
+// callerDisconnected ends a request whose caller no longer waits. The request still
+// gets an answer, with reason canceled, so that every request has exactly one; the
+// shell drops it if the caller can not be reached.
+func (e *Engine) callerDisconnected(id RequestID) {
 	r, known := e.requests[id]
 	if !known {
 		return
 	}
 	if r.phase == phaseClaiming {
-		e.abandoned[r.ID] = r.CallerID
+		e.abandonedClaims[r.ID] = r.CallerID
 	}
-	e.endWith(r, verdict.ReasonCanceled, "")
+	e.failWith(r, verdict.ReasonCanceled, "")
 }
--- a/internal/query/backends.go
+++ b/internal/query/backends.go
@@ -7,8 +7,8 @@
 	"github.com/martenstage/martenstage/internal/journal"
 )
 
-// warmLevels are the numbers of connections asked for by command Warm.
-type warmLevels map[netip.AddrPort]int
+// connectionCounts holds the numbers of connections requested by command Warm.
+type connectionCounts map[netip.AddrPort]int
 
 func (e *Engine) healthObserved(event HealthObserved) {
 	if event.Silent {
@@ -27,26 +27,27 @@
 	e.serverChanged(e.pool.Share(event.Address, event.Slots, event.Connections))
 }
 
-// serverChanged takes in that a server may have become more or less usable.
+// serverChanged updates the connections and the queues of a server that may have
+// become more or less usable.
 func (e *Engine) serverChanged(server *balancer.Server) {
 	if server == nil {
 		return
 	}
 	e.warm(server)
-	e.serveWaiting(server)
+	e.dispatchWaiting(server)
 }
 
-// warm asks for the connections that a server is worth.
+// warm requests the connections that the pool wants for a server.
 func (e *Engine) warm(server *balancer.Server) {
 	wanted := server.Connections()
-	if e.warmed[server.Address] == wanted {
+	if e.requestedConnections[server.Address] == wanted {
 		return
 	}
-	e.warmed[server.Address] = wanted
+	e.requestedConnections[server.Address] = wanted
 	e.emit(Warm{Address: server.Address, Connections: wanted})
 }
 
-// warmServices asks for the connections of all configured servers.
+// warmServices requests the connections of all configured servers.
 func (e *Engine) warmServices() {
 	for _, name := range sortedKeys(e.services) {
 		for _, partition := range e.services[name].partitions {
@@ -57,34 +58,34 @@
 	}
 }
 
-// releaseRetired drops the views that no request uses any more, at the end of
-// a step, when nothing walks over their groups.
+// releaseRetired drops the views that no request uses any more. It runs at the end of
+// a step, when nothing iterates over their groups.
 func (e *Engine) releaseRetired() {
-	for _, view := range e.retired {
+	for _, view := range e.retiredServices {
 		for _, partition := range view.partitions {
 			e.pool.Release(partition.Generation)
 			delete(e.partitions, partition.Generation)
 			for _, group := range partition.Groups {
-				group.Servers(e.coolForgotten)
+				group.Servers(e.closeRemoved)
 			}
 		}
 	}
-	clear(e.retired)
-	e.retired = e.retired[:0]
+	clear(e.retiredServices)
+	e.retiredServices = e.retiredServices[:0]
 }
 
-// coolForgotten closes the connections of a server that left the
+// closeRemoved closes the connections of a server that was removed from the
 // configuration.
-func (e *Engine) coolForgotten(server *balancer.Server) {
-	if _, known := e.pool.Server(server.Address); known || e.warmed[server.Address] == 0 {
+func (e *Engine) closeRemoved(server *balancer.Server) {
+	if _, known := e.pool.Server(server.Address); known || e.requestedConnections[server.Address] == 0 {
 		return
 	}
-	delete(e.warmed, server.Address)
+	delete(e.requestedConnections, server.Address)
 	e.emit(Warm{Address: server.Address})
 }
 
-// reportTransitions tells operators, and other nodes where this engine saw it
-// itself, about changes of servers and groups.
+// reportTransitions journals changes of servers and groups, and publishes those that
+// this engine observed itself to other nodes.
 func (e *Engine) reportTransitions() {
 	for _, transition := range e.pool.TakeTransitions() {
 		event := journal.Event{
@@ -95,12 +96,13 @@
 			e.warm(transition.Server)
 		}
 		e.record(event)
-		e.tellOthers(transition)
+		e.publishTransition(transition)
 	}
 }
 
-// tellOthers passes on that this engine itself saw a back end leave or return.
-func (e *Engine) tellOthers(transition balancer.Transition) {
+// publishTransition informs other nodes that this engine observed a back end start
+// draining or return to service.
+func (e *Engine) publishTransition(transition balancer.Transition) {
 	if !transition.Own {
 		return
 	}
--- a/internal/query/bench_test.go
+++ b/internal/query/bench_test.go
@@ -10,9 +10,10 @@
 
 const benchShards = 270
 
-// BenchmarkEngineQuery270 measures whole requests to 270 shards of two
-// replicas: arrival, choice, replies and answer. Events are made beforehand
-// where they can be; the boxing of the replies is the shell's cost.
+// BenchmarkEngineQuery270 measures complete requests to 270 shards of two replicas:
+// arrival, choice of replicas, replies and answer. Events are created in advance
+// where possible; the allocation of a reply's interface value is part of the shell's
+// cost.
 func BenchmarkEngineQuery270(b *testing.B) {
 	policy := testPolicy()
 	policy.Merge = plan.Merge{Kind: plan.MergeConcat}
--- a/internal/query/claims.go
+++ b/internal/query/claims.go
@@ -5,8 +5,8 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// claim asks for the right to run a request that runs at most once. Nothing is
-// sent before it is granted.
+// claim requests the claim of a request that runs at most once. Nothing is sent
+// before it is granted.
 func (e *Engine) claim(r *request) {
 	r.phase = phaseClaiming
 	e.emit(Claim{
@@ -16,16 +16,16 @@
 	e.schedule(r)
 }
 
-// abandonClaim ends a request whose claim was not decided in time. Should it be
-// granted later, it is given back.
+// abandonClaim ends a request whose claim was not decided in time. A claim that is
+// granted later is released.
 func (e *Engine) abandonClaim(r *request) {
-	e.abandoned[r.ID] = r.CallerID
-	e.endWith(r, verdict.ReasonClaimsUnavailable, "no decision on the claim in time")
+	e.abandonedClaims[r.ID] = r.CallerID
+	e.failWith(r, verdict.ReasonClaimsUnavailable, "the claim was not decided in time")
 }
 
 func (e *Engine) claimDecided(event ClaimDecided) {
-	if callerID, abandoned := e.abandoned[event.Request]; abandoned {
-		delete(e.abandoned, event.Request)
+	if callerID, abandoned := e.abandonedClaims[event.Request]; abandoned {
+		delete(e.abandonedClaims, event.Request)
 		if event.Decision == ClaimGranted {
 			e.emit(SettleClaim{Request: event.Request, CallerID: callerID, Outcome: verdict.NotRun})
 		}
@@ -43,7 +43,7 @@
 	e.record(journal.Event{
 		Kind: journal.KindClaimRefused, Service: r.route.service.definition.Name, Detail: string(refusal.Reason),
 	})
-	answer := e.describe(r)
+	answer := e.newAnswer(r)
 	answer.Verdict, answer.Err = refusal.Verdict, refusal
 	if event.Decision == ClaimUnavailable {
 		answer.Err.RetryAfter = e.retryAfter(leaseRetryAfter)
@@ -51,10 +51,10 @@
 	e.respond(r, answer)
 }
 
-// refusalOfClaim says what is known about the request with the caller's id. A
-// claim with another body proves that this body was not run. An expired claim
-// proves nothing: this call sent nothing, but the id was used before, and its
-// outcome is forgotten.
+// refusalOfClaim returns the verdict about the request with the caller's id. A claim
+// with another body proves that this body was not run. An expired claim proves
+// nothing: this call sent nothing, but the id may have been used before, and the
+// outcome is no longer stored.
 func refusalOfClaim(decision ClaimDecision) *verdict.Error {
 	switch decision {
 	case ClaimHeldRan:
@@ -73,14 +73,14 @@
 	}
 }
 
-// settleIfKnown settles the claim of an answered request once the outcome of
-// all its attempts is known. Until then the claim stays as it is, which keeps
-// any other dispatch out.
-func (e *Engine) settleIfKnown(r *request) {
+// settleClaimIfResolved settles the claim of an answered request once the outcome of
+// all its attempts is known. Until then the claim is kept unchanged, which prevents
+// any other dispatch.
+func (e *Engine) settleClaimIfResolved(r *request) {
 	if r.phase != phaseSettling || r.outstanding > 0 {
 		return
 	}
-	e.emit(SettleClaim{Request: r.ID, CallerID: r.CallerID, Outcome: r.verdictNow()})
+	e.emit(SettleClaim{Request: r.ID, CallerID: r.CallerID, Outcome: r.currentVerdict()})
 	e.settling--
-	e.discard(r)
+	e.releaseRequest(r)
 }
--- a/internal/query/claims_test.go
+++ b/internal/query/claims_test.go
@@ -9,8 +9,9 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// A refused claim sends nothing, and the verdict is about the caller's id: it
-// is not_run only if no call with that id and body can have run.
+// Guards against a wrong verdict for a refused claim. A refused claim sends nothing,
+// and the verdict is about the caller's id: it is not_run only if no call with that
+// id and body can have run.
 func TestVerdictsOfRefusedClaims(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -30,11 +31,11 @@
 			policy.Once, policy.ClaimExpiry = true, time.Minute
 			h := newHarness(t, Config{Zone: "a"}, testPlan(1, 1, policy))
 			commands := h.arrive()
-			require.Empty(t, only[Send](commands), "sent before its claim was decided")
-			require.Len(t, only[Claim](commands), 1)
+			require.Empty(t, commandsOf[Send](commands), "sent before its claim was decided")
+			require.Len(t, commandsOf[Claim](commands), 1)
 			commands = h.after(time.Millisecond, ClaimDecided{Request: h.next, Decision: test.decision})
-			require.Empty(t, only[Send](commands))
-			answer := only[Respond](commands)[0].Answer
+			require.Empty(t, commandsOf[Send](commands))
+			answer := commandsOf[Respond](commands)[0].Answer
 			require.Equal(t, test.reason, answer.Err.Reason)
 			require.Equal(t, test.verdict, answer.Verdict)
 		})
--- a/internal/query/command.go
+++ b/internal/query/command.go
@@ -9,12 +9,11 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// Command is an output of Engine.Step. The shell carries commands out in
-// order.
+// Command is an output of Engine.Step. The shell executes commands in order.
 type Command interface{ isCommand() }
 
-// Send sends one attempt. The shell answers with exactly one PartArrived or
-// AttemptFailed for it, also after Cancel.
+// Send sends one attempt. The shell reports exactly one PartArrived or AttemptFailed
+// for it, also after Cancel.
 type Send struct {
 	Attempt    AttemptID
 	Request    RequestID
@@ -28,21 +27,21 @@
 	Timeout time.Duration
 	// Once forbids any resend by the transport.
 	Once bool
-	// Hedge marks an extra attempt sent while another was out.
+	// Hedge marks an extra attempt sent while another was in flight.
 	Hedge bool
 	// Retry marks an extra attempt sent after another failed.
 	Retry bool
 	Body  []byte
 }
 
-// Cancel ends an attempt whose answer is no longer wanted.
+// Cancel ends an attempt whose reply is no longer wanted.
 type Cancel struct {
 	Attempt AttemptID
 	Address netip.AddrPort
 }
 
-// Claim asks the claim registry for the right to dispatch a request that runs
-// at most once. ClaimDecided answers it. Nothing is sent before.
+// Claim requests the right to dispatch a request that runs at most once from the
+// claim registry. ClaimDecided is the reply, and nothing is sent before it.
 type Claim struct {
 	Request  RequestID
 	CallerID string
@@ -53,35 +52,33 @@
 	Timeout time.Duration
 }
 
-// SettleClaim records the outcome of a claimed request: verdict.Ran,
-// verdict.NotRun (releases the claim) or verdict.MayHaveRun (no record needed;
-// the claim stays as it is).
+// SettleClaim records the outcome of a claimed request: verdict.Ran, verdict.NotRun
+// (releases the claim) or verdict.MayHaveRun (nothing to record; the claim is kept).
 type SettleClaim struct {
-	// Request is the one whose Claim was granted.
+	// Request is the request whose Claim was granted.
 	Request  RequestID
 	CallerID string
 	Outcome  verdict.Verdict
 }
 
-// Respond gives a request its one answer. No other command for the request
-// follows, except Cancel and SettleClaim.
+// Respond sends the only answer of a request. Only Cancel and SettleClaim may follow
+// for the request.
 type Respond struct {
 	Request RequestID
 	Answer  Answer
 }
 
-// Wake asks for TimerFired at a time. Each Wake replaces the one before.
+// Wake requests TimerFired at a time. Each Wake replaces the previous one.
 type Wake struct{ At time.Time }
 
-// Warm asks the shell to hold a number of open connections to a back end
-// ready.
+// Warm tells the shell how many open connections to a back end to maintain.
 type Warm struct {
 	Address     netip.AddrPort
 	Connections int
 }
 
-// Observed tells other nodes about a back end that this engine saw leave, or
-// return after it did.
+// Observed informs other nodes that this engine observed a back end start draining,
+// or return to service afterwards.
 type Observed struct {
 	Address netip.AddrPort
 	State   MachineState
@@ -90,7 +87,7 @@
 // Record appends an event to the journal; the shell sets ID and Source.
 type Record struct{ Event journal.Event }
 
-// Stopped says that no request is left after StopRequested.
+// Stopped reports that no request is left after StopRequested.
 type Stopped struct{}
 
 func (Send) isCommand()        {}
@@ -104,17 +101,17 @@
 func (Record) isCommand()      {}
 func (Stopped) isCommand()     {}
 
-// Snapshot names the one state of the index that an answer is drawn from.
+// Snapshot identifies the state of the index that an answer is drawn from.
 type Snapshot struct {
 	Service    string
 	Generation uint32
 	Version    uint64
 }
 
-// Answer is the one reply to a request. Err is nil for an answer with parts;
-// such an answer may still be partial, late or superseded, and says so.
+// Answer is the only reply to a request. Err is nil for an answer with parts; such an
+// answer may still be partial, late or superseded, as its fields show.
 type Answer struct {
-	// Err is the refusal or failure; nil when there are parts to show.
+	// Err is the refusal or failure; nil if the answer has parts.
 	Err      *verdict.Error
 	Verdict  verdict.Verdict
 	Snapshot Snapshot
@@ -125,16 +122,17 @@
 	Complete bool
 	// Late is true when the answer was decided after the request's deadline.
 	Late bool
-	// Superseded is true when a newer version was already pinnable when the
-	// answer was decided.
+	// Superseded is true when a newer version could already be pinned when the answer
+	// was decided.
 	Superseded bool
 	Items      []json.RawMessage
 	Attempts   AttemptCounts
 	// Elapsed is the time from arrival to decision.
 	Elapsed time.Duration
-	// ConfigRevision is the configuration that the request was admitted under.
+	// ConfigRevision is the configuration revision under which the request was
+	// admitted.
 	ConfigRevision uint64
-	// Restarts counts whole restarts on another snapshot.
+	// Restarts counts restarts of the complete request on another snapshot.
 	Restarts int
 }
 
@@ -142,7 +140,7 @@
 type ShardCoverage struct {
 	Shard uint32
 	Name  string
-	// Items is how many of the part's items came in, before the merge.
+	// Items is the number of items in the part, before the merge.
 	Items   int
 	Elapsed time.Duration
 }
@@ -154,7 +152,8 @@
 	Reason verdict.Reason
 }
 
-// AttemptCounts is the load that the request put on back ends.
+// AttemptCounts is the number of attempts that the request sent to back ends, by
+// kind.
 type AttemptCounts struct {
 	First   int
 	Hedges  int
--- a/internal/query/config.go
+++ b/internal/query/config.go
@@ -22,7 +22,7 @@
 	// Seed fixes the engine's random source (PCG): equal seeds and events give
 	// equal commands.
 	Seed uint64
-	// MaxInFlight bounds the requests under way in this engine.
+	// MaxInFlight bounds the requests in flight in this engine.
 	MaxInFlight int
 	// Owns selects the services that this engine serves; nil means all.
 	Owns func(service string) bool
@@ -30,19 +30,19 @@
 	Tuning Tuning
 }
 
-// Variant names a set of decision rules, so that experiments compare them on
-// one core.
+// Variant names a set of decision rules, so that experiments can compare them on one
+// engine.
 type Variant string
 
 // Variants.
 const (
-	// VariantMartenstage is the product.
+	// VariantMartenstage is the production rule set.
 	VariantMartenstage Variant = "martenstage"
-	// VariantNaive takes a random replica, sends no extra attempts, knows no
-	// limits and waits for all shards until the deadline.
+	// VariantNaive picks a random replica, sends no extra attempts, has no limits and
+	// waits for all shards until the deadline.
 	VariantNaive Variant = "naive"
-	// VariantHedgeFixed adds to VariantNaive a hedge after a fixed delay and
-	// retries at once, both without a budget.
+	// VariantHedgeFixed extends VariantNaive with a hedge after a fixed delay and
+	// immediate retries, both without a budget.
 	VariantHedgeFixed Variant = "hedge-fixed"
 )
 
@@ -52,16 +52,16 @@
 	Variant Variant
 	// FixedHedgeDelay is the delay of VariantHedgeFixed.
 	FixedHedgeDelay time.Duration
-	// MaxRestarts bounds how often a request starts over on another snapshot.
+	// MaxRestarts bounds how often a request restarts on another snapshot.
 	MaxRestarts int
-	// OverloadHold is how long extra attempts stay off after a request was
+	// OverloadHold is how long extra attempts stay disabled after a request was
 	// refused for load.
 	OverloadHold time.Duration
-	// EventInterval is the least time between two equal journal events; those
-	// in between are counted in the next one.
+	// EventInterval is the minimum time between two equal journal events; those in
+	// between are counted in the next one.
 	EventInterval time.Duration
-	// Balancer holds the rules of the choice of replicas; its zone, random
-	// source and selection are set by the engine.
+	// Balancer holds the rules of replica selection; its zone, random source and
+	// selection are set by the engine.
 	Balancer balancer.Config
 }
 
@@ -102,12 +102,12 @@
 // apply.
 func (t Tuning) limited() bool { return t.Variant == VariantMartenstage }
 
-// waitsForAll reports whether policy statements are set aside for the rule
-// "all shards, or what is there at the deadline".
+// waitsForAll reports whether policy statements are ignored in favor of the rule "all
+// shards, or the parts received by the deadline".
 func (t Tuning) waitsForAll() bool { return t.Variant != VariantMartenstage }
 
-// unbudgeted reports whether extra attempts are free of budgets.
+// unbudgeted reports whether extra attempts bypass the budgets.
 func (t Tuning) unbudgeted() bool { return t.Variant == VariantHedgeFixed }
 
-// extraAttempts reports whether there are hedges and retries at all.
+// extraAttempts reports whether hedges and retries are enabled.
 func (t Tuning) extraAttempts() bool { return t.Variant != VariantNaive }
--- a/internal/query/dispatch.go
+++ b/internal/query/dispatch.go
@@ -7,15 +7,15 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// waiter is a shard of a request that waits for a place at a replica.
+// waiter is a shard of a request that waits for a free slot at a replica.
 type waiter struct {
 	request  *request
 	sequence uint64
 	shard    int
 }
 
-// wanted reports whether the waiter still stands for a waiting shard.
-func (w waiter) wanted() bool {
+// isCurrent reports whether the waiter still refers to a waiting shard.
+func (w waiter) isCurrent() bool {
 	return w.request.sequence == w.sequence && w.request.phase == phaseRunning &&
 		w.request.shards[w.shard].phase == shardWaiting
 }
@@ -25,28 +25,28 @@
 	r.phase = phaseRunning
 	pinned, found := e.pinSnapshot(r.route, r.Key)
 	if !found {
-		e.endWith(r, verdict.ReasonNoSnapshot, "no index version is served by enough shards")
+		e.failWith(r, verdict.ReasonNoSnapshot, "no index version is served by enough shards")
 		return
 	}
-	r.target(pinned)
+	r.setTarget(pinned)
 	e.scatter(r)
 }
 
-// scatter places every target shard.
+// scatter dispatches every target shard.
 func (e *Engine) scatter(r *request) {
 	for index := range r.shards {
-		e.place(r, index)
+		e.dispatchShard(r, index)
 	}
-	e.settleEvent(r)
+	e.advanceRequest(r)
 }
 
-// settleEvent takes the decisions that follow from a change of a request.
-func (e *Engine) settleEvent(r *request) {
+// advanceRequest makes the decisions that follow from a change of a request.
+func (e *Engine) advanceRequest(r *request) {
 	if r.phase != phaseRunning {
 		return
 	}
-	if r.vanished {
-		r.vanished = false
+	if r.versionLost {
+		r.versionLost = false
 		if e.restart(r) {
 			return
 		}
@@ -56,9 +56,9 @@
 	}
 }
 
-// place sends a shard's next attempt, lets it wait for a place, or gives it up
-// when no replica can serve it.
-func (e *Engine) place(r *request, index int) {
+// dispatchShard sends a shard's next attempt, queues it for a free slot, or fails the
+// shard when no replica can serve it.
+func (e *Engine) dispatchShard(r *request, index int) {
 	shard := &r.shards[index]
 	server, availability := e.pool.Choose(e.now, shard.group, e.need(r, shard))
 	switch availability {
@@ -67,11 +67,12 @@
 	case balancer.Busy:
 		e.enqueue(r, index)
 	case balancer.Unavailable:
-		e.unavailable(r, shard)
+		e.failUnavailable(r, shard)
 	}
 }
 
-// need is what a shard's next attempt, if it is not a hedge, is chosen for.
+// need returns the requirements on the server for a shard's next attempt that is not
+// a hedge.
 func (e *Engine) need(r *request, shard *shardState) balancer.Need {
 	return balancer.Need{
 		Version: r.version,
@@ -81,9 +82,9 @@
 	}
 }
 
-// unavailable gives up a shard that no replica can serve. Where the version
-// was there before, the whole request may still start over on another one.
-func (e *Engine) unavailable(r *request, shard *shardState) {
+// failUnavailable fails a shard that no replica can serve. If its replicas lost the
+// version, the complete request may still restart on another snapshot.
+func (e *Engine) failUnavailable(r *request, shard *shardState) {
 	switch {
 	case shard.group.Usable() == 0:
 		e.failShard(r, shard, verdict.ReasonNoReplica)
@@ -94,9 +95,9 @@
 	}
 }
 
-// failShard settles a shard without a part.
+// failShard ends a shard without a part.
 func (e *Engine) failShard(r *request, shard *shardState, reason verdict.Reason) {
-	e.leaveQueue(r, shard)
+	e.dequeue(r, shard)
 	shard.phase = shardFailed
 	shard.reason = reason
 	shard.due = time.Time{}
@@ -106,18 +107,18 @@
 // send sends one attempt of a shard to a server.
 func (e *Engine) send(r *request, index int, server *balancer.Server) {
 	shard := &r.shards[index]
-	hedge := shard.outCount > 0
+	hedge := shard.inFlightCount > 0
 	id := e.attempts.add(attempt{
 		request: r, shard: index, group: shard.group, server: server, sent: e.now,
 		version: r.version, generation: r.partition.Number,
 	})
 	e.pool.Begin(server)
-	e.count(r, hedge, shard.again)
+	e.countAttempt(r, hedge, shard.retrying)
 	e.emit(Send{
 		Attempt: id, Request: r.ID, CallerID: r.CallerID, Address: server.Address,
 		Service: r.partition.Service, Shard: shard.group.Shard, Generation: r.partition.Number,
 		Version: r.version, Timeout: r.deadline.Sub(e.now), Once: r.route.Policy.Once,
-		Hedge: hedge, Retry: shard.again && !hedge, Body: r.Body,
+		Hedge: hedge, Retry: shard.retrying && !hedge, Body: r.Body,
 	})
 	shard.addAttempt(id, server)
 	shard.phase = shardSent
@@ -125,9 +126,9 @@
 	r.setDue(shard, e.hedgeTime(r, shard))
 }
 
-// count adds an attempt to the request's load. First attempts earn the tokens
-// that extra ones spend.
-func (e *Engine) count(r *request, hedge, retry bool) {
+// countAttempt adds an attempt to the request's counts. First attempts earn the
+// budget tokens that extra attempts spend.
+func (e *Engine) countAttempt(r *request, hedge, retry bool) {
 	switch {
 	case hedge:
 		r.counts.Hedges++
@@ -141,35 +142,35 @@
 	}
 }
 
-// enqueue lets a shard wait until one of its replicas has a place. The attempt
-// is bound to a replica only then, to whichever is free first.
+// enqueue makes a shard wait until one of its replicas has a free slot. Only then is
+// the attempt bound to a replica, the first one with a free slot.
 func (e *Engine) enqueue(r *request, index int) {
 	shard := &r.shards[index]
 	shard.phase = shardWaiting
 	shard.due = time.Time{}
 	queue := &r.partition.queues[shard.group.Index()]
 	queue.Push(r.route.Policy.Priority, waiter{request: r, sequence: r.sequence, shard: index})
-	e.waiting++
+	e.waitingShards++
 }
 
-// leaveQueue takes a shard out of the count of those that wait.
-func (e *Engine) leaveQueue(r *request, shard *shardState) {
+// dequeue ends a shard's wait for a free slot, if it is waiting.
+func (e *Engine) dequeue(r *request, shard *shardState) {
 	if shard.phase != shardWaiting {
 		return
 	}
 	r.partition.queues[shard.group.Index()].Leave(r.route.Policy.Priority)
-	e.waiting--
+	e.waitingShards--
 	shard.phase = shardSent
 }
 
-// serveWaiting gives the places of a server to the shards that wait for it.
-func (e *Engine) serveWaiting(server *balancer.Server) {
-	if e.waiting > 0 {
-		server.Groups(e.serveQueue)
+// dispatchWaiting assigns the free slots of a server to the shards that wait for it.
+func (e *Engine) dispatchWaiting(server *balancer.Server) {
+	if e.waitingShards > 0 {
+		server.Groups(e.dispatchQueue)
 	}
 }
 
-func (e *Engine) serveQueue(group *balancer.Group) {
+func (e *Engine) dispatchQueue(group *balancer.Group) {
 	partition := e.partitions[group.Generation()]
 	queue := &partition.queues[group.Index()]
 	for queue.Waiting() > 0 {
@@ -177,29 +178,29 @@
 		if !found {
 			return
 		}
-		if next.wanted() && !e.placeWaiter(next) {
+		if next.isCurrent() && !e.dispatchWaiter(next) {
 			queue.PushFront(next.request.route.Policy.Priority, next)
 			return
 		}
 	}
 }
 
-// placeWaiter reports whether the waiter left the queue.
-func (e *Engine) placeWaiter(w waiter) bool {
+// dispatchWaiter reports whether the waiter left the queue.
+func (e *Engine) dispatchWaiter(w waiter) bool {
 	r := w.request
 	shard := &r.shards[w.shard]
 	server, availability := e.pool.Choose(e.now, shard.group, e.need(r, shard))
 	if availability == balancer.Busy {
 		return false
 	}
-	e.leaveQueue(r, shard)
+	e.dequeue(r, shard)
 	if availability == balancer.Available {
 		e.send(r, w.shard, server)
 		e.schedule(r)
 		return true
 	}
-	e.unavailable(r, shard)
-	r.vanished = !shard.group.CanServe(r.version)
-	e.settleEvent(r)
+	e.failUnavailable(r, shard)
+	r.versionLost = !shard.group.CanServe(r.version)
+	e.advanceRequest(r)
 	return true
 }
--- a/internal/query/engine.go
+++ b/internal/query/engine.go
@@ -8,8 +8,8 @@
 	"github.com/martenstage/martenstage/internal/balancer"
 )
 
-// Engine is the decision core of the requests of some services. One goroutine
-// owns it.
+// Engine is the state machine that processes the requests of some services. One
+// goroutine owns it.
 type Engine struct {
 	config Config
 	now    time.Time
@@ -28,27 +28,27 @@
 	stopped    bool
 
 	requests map[RequestID]*request
-	// settling counts requests that were answered while attempts were out
-	// whose outcome still decides about their claim.
+	// settling counts answered requests with attempts in flight whose outcome still
+	// decides how their claim is settled.
 	settling int
-	// abandoned are claims asked for by requests that ended before the
-	// decision came, with the caller's request id.
-	abandoned map[RequestID]string
-	retired   []*serviceView
-	attempts  attemptTable
-	waiting   int
-	spare     []*request
-	sequence  uint64
+	// abandonedClaims maps requests that ended before their claim was decided to the
+	// caller's request id.
+	abandonedClaims map[RequestID]string
+	retiredServices []*serviceView
+	attempts        attemptTable
+	waitingShards   int
+	freeRequests    []*request
+	sequence        uint64
 
-	timers   timerHeap
-	wakeAt   time.Time
-	events   eventLimiter
-	warmed   warmLevels
-	commands []Command
+	timers               timerHeap
+	timerAt              time.Time
+	events               eventLimiter
+	requestedConnections connectionCounts
+	commands             []Command
 }
 
-// New returns an engine without configuration and lease: it refuses requests
-// until it has got both.
+// New returns an engine without configuration and lease: it refuses requests until it
+// has received both.
 func New(config Config) *Engine {
 	config = config.withDefaults()
 	random := rand.New(rand.NewPCG(config.Seed, config.Seed))
@@ -58,23 +58,23 @@
 		balancing.Selection = balancer.SelectRandom
 	}
 	return &Engine{
-		config:     config,
-		random:     random,
-		pool:       balancer.New(balancing),
-		gate:       admission.Gate{MaxInFlight: config.MaxInFlight},
-		routes:     make(map[string]*routeView),
-		services:   make(map[string]*serviceView),
-		partitions: make(map[*balancer.Generation]*partition),
-		requests:   make(map[RequestID]*request),
-		abandoned:  make(map[RequestID]string),
-		events:     newEventLimiter(config.Tuning.EventInterval),
-		warmed:     make(warmLevels),
+		config:               config,
+		random:               random,
+		pool:                 balancer.New(balancing),
+		gate:                 admission.Gate{MaxInFlight: config.MaxInFlight},
+		routes:               make(map[string]*routeView),
+		services:             make(map[string]*serviceView),
+		partitions:           make(map[*balancer.Generation]*partition),
+		requests:             make(map[RequestID]*request),
+		abandonedClaims:      make(map[RequestID]string),
+		events:               newEventLimiter(config.Tuning.EventInterval),
+		requestedConnections: make(connectionCounts),
 	}
 }
 
-// Step takes in one event and returns what has to be done, in order. The
-// returned slice is valid until the next Step. A time before that of the last
-// Step counts as that of the last Step.
+// Step processes one event and returns the commands to execute, in order. The
+// returned slice is valid until the next Step. A time before that of the last Step is
+// replaced by the time of the last Step.
 func (e *Engine) Step(now time.Time, event Event) []Command {
 	if now.After(e.now) {
 		e.now = now
@@ -86,7 +86,7 @@
 	e.reportTransitions()
 	e.releaseRetired()
 	e.finishStop()
-	e.armWake()
+	e.armTimer()
 	return e.commands
 }
 
@@ -101,7 +101,7 @@
 	case HealthObserved:
 		e.healthObserved(event)
 	case CallerGone:
-		e.callerGone(event.Request)
+		e.callerDisconnected(event.Request)
 	case ClaimDecided:
 		e.claimDecided(event)
 	case ConfigInstalled:
@@ -120,18 +120,18 @@
 
 func (e *Engine) emit(command Command) { e.commands = append(e.commands, command) }
 
-// leaseRenewed moves the end of the lease. A renewal that comes out of order
-// must not shorten it; only a zero time ends it early.
+// leaseRenewed extends the lease. A renewal that arrives out of order must not
+// shorten it; only a zero time ends it early.
 func (e *Engine) leaseRenewed(until time.Time) {
 	if until.IsZero() || until.After(e.leaseUntil) {
 		e.leaseUntil = until
 	}
 }
 
-// finishStop says that nothing is left to wait for: every request has its
-// answer, and every claim that was asked for is settled.
+// finishStop emits Stopped once every request has its answer and every requested
+// claim is settled.
 func (e *Engine) finishStop() {
-	if !e.stopping || e.stopped || len(e.requests) > 0 || e.settling > 0 || len(e.abandoned) > 0 {
+	if !e.stopping || e.stopped || len(e.requests) > 0 || e.settling > 0 || len(e.abandonedClaims) > 0 {
 		return
 	}
 	e.stopped = true
--- a/internal/query/engine_test.go
+++ b/internal/query/engine_test.go
@@ -21,8 +21,8 @@
 	testRoute   = "pick"
 )
 
-// harness drives one engine with a plain site: shards × replicas servers with
-// two slots each, and one route to all of them.
+// harness drives one engine with a simple site: shards × replicas servers with two
+// slots each, and one route to all of them.
 type harness struct {
 	t        require.TestingT
 	engine   *Engine
@@ -76,7 +76,7 @@
 	}
 }
 
-// newHarness installs the plan and reports every server ready with version 1.
+// newHarness installs the plan and reports every server as ready with version 1.
 func newHarness(t require.TestingT, config Config, installed *plan.Plan) *harness {
 	h := &harness{t: t, engine: New(config), now: time.Unix(1000, 0), plan: installed}
 	h.step(LeaseRenewed{Until: h.now.Add(time.Hour)})
@@ -111,7 +111,7 @@
 	}})
 }
 
-// step copies the commands, since the engine uses the slice again.
+// step copies the commands, since the engine reuses the slice.
 func (h *harness) step(event Event) []Command {
 	return append([]Command(nil), h.engine.Step(h.now, event)...)
 }
@@ -134,7 +134,7 @@
 	}
 }
 
-// part answers an attempt truly.
+// part returns a correct reply to an attempt.
 func part(send Send) PartArrived {
 	return PartArrived{
 		Attempt: send.Attempt,
@@ -148,7 +148,7 @@
 	}
 }
 
-func only[T Command](commands []Command) []T {
+func commandsOf[T Command](commands []Command) []T {
 	var found []T
 	for _, command := range commands {
 		if typed, ok := command.(T); ok {
@@ -160,11 +160,11 @@
 
 func TestAnswerHoldsThePartsOfAllShards(t *testing.T) {
 	h := newHarness(t, Config{Zone: "a"}, testPlan(3, 2, testPolicy()))
-	sends := only[Send](h.arrive())
+	sends := commandsOf[Send](h.arrive())
 	require.Len(t, sends, 3)
-	require.Empty(t, only[Respond](h.after(time.Millisecond, part(sends[2]))))
-	require.Empty(t, only[Respond](h.after(time.Millisecond, part(sends[0]))))
-	answers := only[Respond](h.after(time.Millisecond, part(sends[1])))
+	require.Empty(t, commandsOf[Respond](h.after(time.Millisecond, part(sends[2]))))
+	require.Empty(t, commandsOf[Respond](h.after(time.Millisecond, part(sends[0]))))
+	answers := commandsOf[Respond](h.after(time.Millisecond, part(sends[1])))
 	require.Len(t, answers, 1)
 	answer := answers[0].Answer
 	require.Nil(t, answer.Err)
@@ -174,22 +174,22 @@
 	require.Equal(t, Snapshot{Service: testService, Generation: 1, Version: 1}, answer.Snapshot)
 	require.Len(t, answer.Items, 3)
 	require.Contains(t, string(answer.Items[0]), `"shard":0`)
-	require.Empty(t, only[Respond](h.step(part(sends[1]))), "a duplicate reply changes nothing")
+	require.Empty(t, commandsOf[Respond](h.step(part(sends[1]))), "a duplicate reply changes nothing")
 }
 
 func TestPartialAnswerNamesTheMissingShardAndCancelsIt(t *testing.T) {
 	policy := testPolicy()
 	policy.Hedge, policy.Retry = plan.Hedge{}, plan.Retry{}
 	h := newHarness(t, Config{Zone: "a"}, testPlan(3, 2, policy))
-	sends := only[Send](h.arrive())
+	sends := commandsOf[Send](h.arrive())
 	h.after(time.Millisecond, part(sends[0]))
 	h.after(time.Millisecond, part(sends[1]))
 	commands := h.after(148*time.Millisecond, TimerFired{})
-	answer := only[Respond](commands)[0].Answer
+	answer := commandsOf[Respond](commands)[0].Answer
 	require.False(t, answer.Complete)
 	require.Len(t, answer.Covered, 2)
 	require.Equal(t, []MissingShard{{Shard: 2, Name: "s2", Reason: verdict.ReasonTimeout}}, answer.Missing)
-	require.Equal(t, sends[2].Attempt, only[Cancel](commands)[0].Attempt)
+	require.Equal(t, sends[2].Attempt, commandsOf[Cancel](commands)[0].Attempt)
 }
 
 func TestRepliesThatAnswerSomethingElseAreNeverMerged(t *testing.T) {
@@ -205,14 +205,14 @@
 			policy := testPolicy()
 			policy.Retry = plan.Retry{}
 			h := newHarness(t, Config{Zone: "a"}, testPlan(1, 1, policy))
-			reply := part(only[Send](h.arrive())[0])
+			reply := part(commandsOf[Send](h.arrive())[0])
 			change(&reply.Echo)
 			commands := h.step(reply)
-			answer := only[Respond](commands)[0].Answer
+			answer := commandsOf[Respond](commands)[0].Answer
 			require.Equal(t, verdict.ReasonBadEcho, answer.Err.Reason)
 			require.Equal(t, verdict.MayHaveRun, answer.Verdict)
 			require.Empty(t, answer.Items)
-			require.Len(t, only[Record](commands), 2)
+			require.Len(t, commandsOf[Record](commands), 2)
 		})
 	}
 }
@@ -250,77 +250,77 @@
 		t.Run(string(reason), func(t *testing.T) {
 			h := newHarness(t, Config{Zone: "a"}, testPlan(2, 1, testPolicy()))
 			commands := h.step(RequestArrived{Request: prepare(h)})
-			require.Empty(t, only[Send](commands))
-			answer := only[Respond](commands)[0].Answer
+			require.Empty(t, commandsOf[Send](commands))
+			answer := commandsOf[Respond](commands)[0].Answer
 			require.Equal(t, reason, answer.Err.Reason)
 			require.Equal(t, verdict.NotRun, answer.Verdict)
 		})
 	}
 }
 
-func TestADepartureIsTakenBackOnceTheServerIsSeenToReturn(t *testing.T) {
+func TestADrainIsRetractedOnceTheServerReturns(t *testing.T) {
 	h := newHarness(t, Config{Zone: "a"}, testPlan(1, 2, testPolicy()))
 	address := h.plan.Services[0].Generations[0].Shards[0].Replicas[0].Address
-	told := func(commands []Command) []MachineState {
-		return lo.Map(only[Observed](commands), func(word Observed, _ int) MachineState { return word.State })
+	published := func(commands []Command) []MachineState {
+		return lo.Map(commandsOf[Observed](commands), func(observed Observed, _ int) MachineState { return observed.State })
 	}
 
-	require.Equal(t, []MachineState{MachineLeaving}, told(h.report(address, backendapi.StateDraining, 1, 0, 1)))
-	require.Empty(t, told(h.report(address, backendapi.StateDraining, 1, 0, 1)))
-	require.Equal(t, []MachineState{MachineLive}, told(h.report(address, backendapi.StateReady, 1, 0, 1)))
-	require.Empty(t, told(h.report(address, backendapi.StateReady, 1, 0, 1)))
+	require.Equal(t, []MachineState{MachineLeaving}, published(h.report(address, backendapi.StateDraining, 1, 0, 1)))
+	require.Empty(t, published(h.report(address, backendapi.StateDraining, 1, 0, 1)))
+	require.Equal(t, []MachineState{MachineLive}, published(h.report(address, backendapi.StateReady, 1, 0, 1)))
+	require.Empty(t, published(h.report(address, backendapi.StateReady, 1, 0, 1)))
 
-	// What others said is theirs to take back.
+	// A departure reported by others is retracted by them.
 	h.step(MachineObserved{Address: address, State: MachineLeaving})
-	require.Empty(t, told(h.report(address, backendapi.StateReady, 1, 0, 1)))
+	require.Empty(t, published(h.report(address, backendapi.StateReady, 1, 0, 1)))
 }
 
-func TestADepartureOutlivesAConfigurationWithoutTheServer(t *testing.T) {
+func TestADrainOutlivesAConfigurationWithoutTheServer(t *testing.T) {
 	for name, leave := range map[string]func(h *harness, address netip.AddrPort){
 		"refusal": func(h *harness, address netip.AddrPort) {
-			sent := only[Send](h.arrive())[0]
+			sent := commandsOf[Send](h.arrive())[0]
 			h.step(AttemptFailed{Attempt: sent.Attempt, Verdict: verdict.NotRun, Reason: verdict.ReasonDraining})
 		},
-		"word of others": func(h *harness, address netip.AddrPort) {
+		"report by others": func(h *harness, address netip.AddrPort) {
 			h.step(MachineObserved{Address: address, State: MachineLeaving})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, Config{Zone: "a"}, testPlan(1, 1, testPolicy()))
-			whole := h.plan
-			address := whole.Services[0].Generations[0].Shards[0].Replicas[0].Address
+			complete := h.plan
+			address := complete.Services[0].Generations[0].Shards[0].Replicas[0].Address
 			leave(h, address)
 			h.plan = &plan.Plan{}
 			h.install()
-			h.plan = whole
+			h.plan = complete
 			h.install()
 			h.reportVersions(1)
-			require.Empty(t, only[Send](h.arrive()))
+			require.Empty(t, commandsOf[Send](h.arrive()))
 		})
 	}
 }
 
-func TestAWordAboutAServerThatIsNotConfiguredIsKept(t *testing.T) {
+func TestAReportAboutAnUnconfiguredServerIsKept(t *testing.T) {
 	h := newHarness(t, Config{Zone: "a"}, &plan.Plan{Services: []plan.Service{{Name: testService}}})
-	whole := testPlan(1, 1, testPolicy())
-	address := whole.Services[0].Generations[0].Shards[0].Replicas[0].Address
+	complete := testPlan(1, 1, testPolicy())
+	address := complete.Services[0].Generations[0].Shards[0].Replicas[0].Address
 	h.step(MachineObserved{Address: address, State: MachineLeaving})
-	h.plan = whole
+	h.plan = complete
 	h.install()
 	h.reportVersions(1)
-	require.Empty(t, only[Send](h.arrive()))
+	require.Empty(t, commandsOf[Send](h.arrive()))
 
 	h.after(time.Hour, MachineObserved{Address: address, State: MachineLive})
 	h.step(LeaseRenewed{Until: h.now.Add(time.Hour)})
-	require.NotEmpty(t, only[Send](h.arrive()))
+	require.NotEmpty(t, commandsOf[Send](h.arrive()))
 }
 
-func TestNothingIsSentOnAnOldWordOfTheHealthEndpoint(t *testing.T) {
+func TestNothingIsSentOnAnExpiredHealthReport(t *testing.T) {
 	tuning := Tuning{Balancer: balancer.Config{HealthLifetime: 2 * time.Second}}
 	h := newHarness(t, Config{Zone: "a", Tuning: tuning}, testPlan(1, 1, testPolicy()))
-	h.now = h.now.Add(3 * time.Second) // the process did not run
-	require.Empty(t, only[Send](h.arrive()))
+	h.now = h.now.Add(3 * time.Second) // the process was suspended
+	require.Empty(t, commandsOf[Send](h.arrive()))
 	address := h.plan.Services[0].Generations[0].Shards[0].Replicas[0].Address
-	require.Len(t, only[Send](h.report(address, backendapi.StateReady, 1, 0, 1)), 1)
-	require.Len(t, only[Send](h.arrive()), 1)
+	require.Len(t, commandsOf[Send](h.report(address, backendapi.StateReady, 1, 0, 1)), 1)
+	require.Len(t, commandsOf[Send](h.arrive()), 1)
 }
--- a/internal/query/event.go
+++ b/internal/query/event.go
@@ -9,12 +9,12 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// RequestID numbers a request within one engine. The caller's own id is
+// RequestID identifies a request within one engine. The caller's own id is
 // Request.CallerID.
 type RequestID uint64
 
-// AttemptID numbers an attempt within one engine. It is never used again, so
-// a late reply can not be taken for that of another attempt.
+// AttemptID identifies an attempt within one engine. Ids are never reused, so a late
+// reply can not be matched to another attempt.
 type AttemptID uint64
 
 // Request is a query as admitted by the callers' API.
@@ -37,8 +37,8 @@
 // Event is an input of Engine.Step.
 type Event interface{ isEvent() }
 
-// ConfigInstalled replaces the plan. Requests under way finish under the plan
-// that they were admitted with.
+// ConfigInstalled replaces the plan. Requests in flight finish under the plan that
+// they were admitted with.
 type ConfigInstalled struct {
 	Revision uint64
 	Plan     *plan.Plan
@@ -49,12 +49,12 @@
 // time, which ends the lease.
 type LeaseRenewed struct{ Until time.Time }
 
-// StopRequested makes the engine refuse new requests with reason stopping and
-// finish those under way. Command Stopped follows when none is left.
+// StopRequested makes the engine refuse new requests with reason stopping and finish
+// those in flight. Command Stopped follows when none is left.
 type StopRequested struct{}
 
-// ShareChanged sets this router's share of one back end's connections and
-// slots. Without one, the router takes the whole of both.
+// ShareChanged sets this router's share of one back end's connections and slots.
+// Without it, the router uses all of both.
 type ShareChanged struct {
 	Address     netip.AddrPort
 	Slots       int
@@ -64,7 +64,7 @@
 // RequestArrived submits a request for admission.
 type RequestArrived struct{ Request Request }
 
-// CallerGone says that the caller of a request no longer waits.
+// CallerGone reports that the caller of a request no longer waits.
 type CallerGone struct{ Request RequestID }
 
 // ClaimDecided is the reply to command Claim.
@@ -73,7 +73,7 @@
 	Decision ClaimDecision
 }
 
-// ClaimDecision is what the claim registry said.
+// ClaimDecision is the claim registry's decision.
 type ClaimDecision uint8
 
 // Claim decisions.
@@ -83,12 +83,12 @@
 	ClaimHeldRan
 	ClaimExpired
 	ClaimDigestMismatch
-	// ClaimUnavailable means that no quorum decided in time and the claim may
-	// or may not exist; nothing was dispatched.
+	// ClaimUnavailable means that no quorum decided in time and the claim may or may
+	// not exist; nothing was dispatched.
 	ClaimUnavailable
 )
 
-// Echo is what a back end's reply says about the query it answers.
+// Echo holds the query parameters that a back end repeats in its reply.
 type Echo struct {
 	Request       string
 	Shard         uint32
@@ -97,7 +97,7 @@
 	RequestDigest string
 }
 
-// PartArrived is a whole reply whose body matched its digest.
+// PartArrived is a complete reply whose body matched its digest.
 type PartArrived struct {
 	Attempt AttemptID
 	Echo    Echo
@@ -111,44 +111,44 @@
 	Attempt AttemptID
 	Verdict verdict.Verdict
 	Reason  verdict.Reason
-	// RetryAfter is the back end's own hint; 0 for none.
+	// RetryAfter is the back end's hint; 0 for none.
 	RetryAfter time.Duration
 	Report     Report
 }
 
-// Report is what a reply's headers say about its sender.
+// Report holds what a reply's headers state about the back end that sent it.
 type Report struct {
 	// Known is false when there was no reply.
 	Known    bool
 	Draining bool
 	Load     backendapi.Load
-	// Holdings is the sender's mark for what it can serve, if it has one.
+	// Holdings is the back end's marker for what it can serve; empty if it has none.
 	Holdings string
 }
 
-// observes reports whether the reply says all that a probe says.
-func (r Report) observes() bool { return r.Known && !r.Draining && r.Holdings != "" }
+// replacesProbe reports whether the reply carries all the information of a probe.
+func (r Report) replacesProbe() bool { return r.Known && !r.Draining && r.Holdings != "" }
 
 // HealthObserved is the outcome of one probe of a back end.
 type HealthObserved struct {
 	Address netip.AddrPort
 	// Reachable is false when the probe failed; Health is then empty.
 	Reachable bool
-	// Silent is set in addition when nothing was heard in time, which may be the
-	// network's doing: it is no news of the back end.
+	// Silent is set in addition when no reply arrived in time. The network may be the
+	// cause, so it tells nothing about the back end.
 	Silent bool
 	Health backendapi.Health
 }
 
-// MachineObserved is a word about a back end from the platform list, an
-// operator or another router. It can take a machine out of use; it can not
-// bring one back that this router's own observation holds for gone.
+// MachineObserved is a report about a back end from the platform list, an operator or
+// another router. It can take a machine out of use, but can not bring back one that
+// this router itself observed as unavailable.
 type MachineObserved struct {
 	Address netip.AddrPort
 	State   MachineState
 }
 
-// MachineState is the state of a machine by somebody's word.
+// MachineState is the reported state of a machine.
 type MachineState uint8
 
 // Machine states.
@@ -158,8 +158,8 @@
 	MachineGone
 )
 
-// TimerFired says that the time of the last command Wake has come. Spurious
-// ones do no harm.
+// TimerFired reports that the last requested time has come. Spurious ones are
+// harmless.
 type TimerFired struct{}
 
 func (ConfigInstalled) isEvent() {}
--- a/internal/query/hedge.go
+++ b/internal/query/hedge.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// leastObservations is the weight of observations from which a shard's
-	// quantile is used; before, the policy's longest delay is.
-	leastObservations = 20
-	// leastPostponement is the pause before a hedge that was due but could not
-	// be sent is looked at again.
-	leastPostponement = time.Millisecond
-	// rescueShare is the part of a hedge budget's burst that is kept for shards
-	// whose attempts are at suspect servers, see keptForRescue.
-	rescueShare = 0.8
+	// minObservations is the weight of observations from which a shard's quantile is
+	// used; below it, the policy's longest delay is used.
+	minObservations = 20
+	// minPostponement is the minimum delay before a hedge that was due but could not
+	// be sent is considered again.
+	minPostponement = time.Millisecond
+	// suspectReserveShare is the part of a hedge budget's burst that is reserved for
+	// shards whose attempts are at suspect servers, see reservedHedgeTokens.
+	suspectReserveShare = 0.8
 )
 
-// shardsDue takes the decisions of shards whose time has come.
-func (e *Engine) shardsDue(r *request) {
+// processDueShards sends the retries and hedges of shards whose due time has come.
+func (e *Engine) processDueShards(r *request) {
 	for index := range r.shards {
 		shard := &r.shards[index]
 		if !shard.isOpen() || shard.due.IsZero() || shard.due.After(e.now) {
 			continue
 		}
 		shard.due = time.Time{}
-		if shard.phase == shardPausing {
-			// The pause gave every replica time to recover.
-			shard.triedSize = 0
-			e.place(r, index)
+		if shard.phase == shardBackingOff {
+			// The backoff gave every replica time to recover.
+			shard.triedCount = 0
+			e.dispatchShard(r, index)
 			continue
 		}
 		e.observeSlow(shard)
@@ -38,17 +38,17 @@
 	}
 }
 
-// observeSlow tells the balancer that the shard's attempts take longer than
-// most do, so that new work avoids their servers long before they answer.
+// observeSlow reports to the balancer that the shard's attempts take longer than
+// most, so that new work avoids their servers long before they reply.
 func (e *Engine) observeSlow(shard *shardState) {
-	for _, id := range shard.out[:shard.outCount] {
+	for _, id := range shard.inFlight[:shard.inFlightCount] {
 		entry := e.attempts.get(id)
 		e.pool.ObserveSlow(e.now, entry.group, entry.server, e.now.Sub(entry.sent))
 	}
 }
 
-// hedgeTime is when a hedge of the shard is due; zero for never. A request
-// that runs at most once is never hedged.
+// hedgeTime returns when a hedge of the shard is due; zero for never. A request that
+// runs at most once is never hedged.
 func (e *Engine) hedgeTime(r *request, shard *shardState) time.Time {
 	tuning, hedge := &e.config.Tuning, &r.route.Policy.Hedge
 	if !tuning.extraAttempts() || r.route.Policy.Once {
@@ -70,16 +70,15 @@
 	return e.now.Add(delay)
 }
 
-// hedgeDelay is the shard's latency quantile within the policy's bounds (Dean
-// and Barroso, "The Tail at Scale", 2013). A shard that is not known well yet
-// is taken for one like the others of its shard map. 0 means that nothing is
-// known.
+// hedgeDelay is the shard's latency quantile within the policy's bounds (Dean and
+// Barroso, "The Tail at Scale", 2013). A shard with too few observations uses the
+// latency of its complete shard map. 0 disables the hedge.
 func hedgeDelay(hedge *plan.Hedge, group *balancer.Group) time.Duration {
 	known := group.Latency
-	if known.Count() < leastObservations {
+	if known.Count() < minObservations {
 		known = group.Generation().Latency
 	}
-	if known.Count() < leastObservations {
+	if known.Count() < minObservations {
 		return hedge.Most
 	}
 	delay := max(known.Quantile(hedge.Quantile), hedge.Least)
@@ -89,20 +88,20 @@
 	return delay
 }
 
-// hedge sends a second attempt to another replica, if that costs others
-// nothing: a token must be there, and a free slot, and nobody who waits.
+// hedge sends a second attempt to another replica if that delays no other request: it
+// needs a budget token, a free slot and an empty queue.
 func (e *Engine) hedge(r *request, index int) {
 	shard := &r.shards[index]
-	if shard.outCount >= maxAttemptsOut {
+	if shard.inFlightCount >= maxInFlightPerShard {
 		return
 	}
-	rescue := e.isRescue(shard)
-	if !e.mayHedge(r, shard, rescue) {
+	suspect := e.allAttemptsSuspect(shard)
+	if !e.mayHedge(r, shard, suspect) {
 		e.postponeHedge(r, shard)
 		return
 	}
 	server, availability := e.pool.Choose(e.now, shard.group, balancer.Need{
-		Version: r.version, Tried: shard.triedServers(), Spare: e.config.Tuning.limited() && !rescue,
+		Version: r.version, Tried: shard.triedServers(), Spare: e.config.Tuning.limited() && !suspect,
 	})
 	switch availability {
 	case balancer.Available:
@@ -117,11 +116,11 @@
 	}
 }
 
-// isRescue reports whether all attempts of the shard are at servers that have
-// become suspect. Their places are lost as it is: a hedge then stands for the
-// attempt that a good server would have got, and competes like a first one.
-func (e *Engine) isRescue(shard *shardState) bool {
-	for _, id := range shard.out[:shard.outCount] {
+// allAttemptsSuspect reports whether all attempts of the shard are at servers that
+// have become suspect. Their slots are lost anyway: such a hedge replaces the attempt
+// that a healthy server would have received, and is scheduled like a first attempt.
+func (e *Engine) allAttemptsSuspect(shard *shardState) bool {
+	for _, id := range shard.inFlight[:shard.inFlightCount] {
 		if !e.attempts.get(id).server.Suspect() {
 			return false
 		}
@@ -129,32 +128,33 @@
 	return true
 }
 
-func (e *Engine) mayHedge(r *request, shard *shardState, rescue bool) bool {
+func (e *Engine) mayHedge(r *request, shard *shardState, suspect bool) bool {
 	if e.config.Tuning.unbudgeted() {
 		return true
 	}
 	state := r.route.service.state
-	kept := 0.0
-	if !rescue {
-		kept = keptForRescue(r.route)
+	reserved := 0.0
+	if !suspect {
+		reserved = reservedHedgeTokens(r.route)
 	}
-	return state.hedges.Tokens() >= 1+kept && !e.now.Before(state.overloadedUntil) &&
-		(rescue || r.partition.queues[shard.group.Index()].Waiting() == 0)
+	return state.hedges.Tokens() >= 1+reserved && !e.now.Before(state.overloadedUntil) &&
+		(suspect || r.partition.queues[shard.group.Index()].Waiting() == 0)
 }
 
-// keptForRescue is how many tokens ordinary hedges leave for rescues. Hedging
-// at a quantile q takes a token for a share 1 - q of all attempts. Where that
-// is all that the budget earns, nothing would be left for servers that stall.
-func keptForRescue(route *routeView) float64 {
+// reservedHedgeTokens is the number of tokens that ordinary hedges leave for shards
+// at suspect servers. Hedging at a quantile q spends a token for a share 1 - q of all
+// attempts. If the budget earns no more than that, nothing would be left for servers
+// that stall.
+func reservedHedgeTokens(route *routeView) float64 {
 	limits := route.service.definition.HedgeBudget
 	const rounding = 1e-9
 	if limits.Ratio > 1-route.Policy.Hedge.Quantile+rounding {
 		return 0
 	}
-	return rescueShare * max(0, limits.Burst-1)
+	return suspectReserveShare * max(0, limits.Burst-1)
 }
 
-// postponeHedge looks at the hedge again after part of the typical latency.
+// postponeHedge reconsiders the hedge after half of the typical latency.
 func (e *Engine) postponeHedge(r *request, shard *shardState) {
-	r.setDue(shard, e.now.Add(max(shard.group.Typical()/2, leastPostponement)))
+	r.setDue(shard, e.now.Add(max(shard.group.Typical()/2, minPostponement)))
 }
--- a/internal/query/model_test.go
+++ b/internal/query/model_test.go
@@ -15,28 +15,28 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// model drives two engines of one seed with the same events and checks every
-// command against what the events have made true.
+// model sends the same events to two engines with the same seed and checks every
+// command against the state that follows from the events.
 type model struct {
 	*harness
 	twin     *Engine
 	draw     *rapid.T
 	requests map[RequestID]*modelRequest
-	// attempts holds those whose outcome has not been told.
+	// attempts holds those whose outcome has not been reported.
 	attempts map[AttemptID]Send
 	order    []AttemptID
-	leaving  map[netip.AddrPort]bool
+	draining map[netip.AddrPort]bool
 	shares   map[netip.AddrPort]int
 	inFlight map[netip.AddrPort]int
 	claims   []RequestID
-	wakeAt   time.Time
+	timerAt  time.Time
 	firsts   int
 	hedges   int
 	retries  int
 	stopped  int
 }
 
-// modelRequest is what is true of one request.
+// modelRequest is the expected state of one request.
 type modelRequest struct {
 	Request
 	arrived  time.Time
@@ -48,8 +48,8 @@
 	sent     int
 	refused  int
 	parts    int
-	// current counts the sends of each shard, and valid the true parts, since
-	// the snapshot was pinned.
+	// current counts the attempts sent to each shard, and valid marks shards with a
+	// correct part, since the snapshot was pinned.
 	current map[uint32]int
 	valid   map[uint32]bool
 	// unsafe marks shards with an attempt that may have run.
@@ -90,7 +90,7 @@
 func newModel(t *rapid.T, config Config) *model {
 	m := &model{
 		twin: New(config), draw: t, requests: make(map[RequestID]*modelRequest),
-		attempts: make(map[AttemptID]Send), leaving: make(map[netip.AddrPort]bool),
+		attempts: make(map[AttemptID]Send), draining: make(map[netip.AddrPort]bool),
 		shares: make(map[netip.AddrPort]int), inFlight: make(map[netip.AddrPort]int),
 	}
 	m.harness = &harness{t: t, engine: New(config), now: time.Unix(1000, 0), plan: modelPlan()}
@@ -109,7 +109,7 @@
 	m.apply(ConfigInstalled{Revision: m.revision, Plan: m.plan})
 }
 
-// health reports a server as a holder of its shard in both generations.
+// health returns a report that a server holds its shard in both generations.
 func (m *model) health(address netip.AddrPort, state backendapi.ReadyState, versions ...uint64) HealthObserved {
 	health := backendapi.Health{State: state}
 	for generation := uint32(1); generation <= 2; generation++ {
@@ -120,7 +120,7 @@
 	return HealthObserved{Address: address, Reachable: true, Health: health}
 }
 
-// apply takes a step with both engines, compares and checks.
+// apply steps both engines, compares their commands and checks them.
 func (m *model) apply(event Event) {
 	commands := m.step(event)
 	require.Equal(m.t, commands, append([]Command(nil), m.twin.Step(m.now, event)...), "equal seeds, equal commands")
@@ -143,7 +143,7 @@
 	case Respond:
 		m.checkAnswer(m.requests[command.Request], command.Answer)
 	case Wake:
-		m.wakeAt = command.At
+		m.timerAt = command.At
 	case Stopped:
 		m.stopped++
 	}
@@ -152,7 +152,7 @@
 func (m *model) checkSend(send Send) {
 	r := m.requests[send.Request]
 	require.False(m.t, r.answered, "nothing is sent after the answer")
-	require.False(m.t, m.leaving[send.Address], "no work for a server that is known to leave")
+	require.False(m.t, m.draining[send.Address], "no work for a server that is known to drain")
 	require.NotContains(m.t, m.attempts, send.Attempt)
 	m.attempts[send.Attempt] = send
 	m.order = append(m.order, send.Attempt)
@@ -173,8 +173,8 @@
 	r.current[send.Shard]++
 }
 
-// countSend checks the budgets. The sends of a restart are told by the change
-// of snapshot.
+// countSend checks the budgets. The attempts of a restart are recognized by their new
+// snapshot.
 func (m *model) countSend(r *modelRequest, send Send) {
 	snapshot := Snapshot{Service: send.Service, Generation: send.Generation, Version: send.Version}
 	if r.snapshot != snapshot {
@@ -200,11 +200,11 @@
 	require.True(m.t, r.granted)
 	require.False(m.t, r.settled, "one settlement per claim")
 	r.settled = true
-	require.Equal(m.t, m.truth(r, true), settle.Outcome)
+	require.Equal(m.t, m.expectedVerdict(r, true), settle.Outcome)
 }
 
-// truth is the verdict that follows from the outcomes told so far.
-func (m *model) truth(r *modelRequest, all bool) verdict.Verdict {
+// expectedVerdict is the verdict that follows from the outcomes reported so far.
+func (m *model) expectedVerdict(r *modelRequest, all bool) verdict.Verdict {
 	switch {
 	case r.parts > 0:
 		return verdict.Ran
@@ -213,7 +213,7 @@
 	default:
 		if all {
 			for _, send := range m.attempts {
-				require.NotEqual(m.t, r.ID, send.Request, "settled while an attempt is out")
+				require.NotEqual(m.t, r.ID, send.Request, "settled while an attempt is in flight")
 			}
 		}
 		return verdict.MayHaveRun
@@ -227,16 +227,16 @@
 		require.Equal(m.t, answer.Verdict, answer.Err.Verdict)
 		require.Empty(m.t, answer.Items)
 	}
-	switch truth := m.truth(r, false); {
+	switch expected := m.expectedVerdict(r, false); {
 	case answer.Err != nil && answer.Err.Reason == verdict.ReasonClaimHeld,
 		answer.Err != nil && answer.Err.Reason == verdict.ReasonClaimExpired:
 		// The verdict is about an earlier call with the same id.
 		require.Zero(m.t, r.sent)
 	case answer.Restarts > 0 && answer.Verdict == verdict.MayHaveRun:
-		// What was out at the restart is not followed any further. The weaker
-		// word is as true, and sound.
+		// Attempts in flight at the restart are no longer tracked. The weaker
+		// verdict is still correct.
 	default:
-		require.Equal(m.t, truth, answer.Verdict)
+		require.Equal(m.t, expected, answer.Verdict)
 	}
 	deadline := r.arrived.Add(testPolicy().Deadline)
 	require.Equal(m.t, m.now.After(deadline), answer.Late)
@@ -254,7 +254,7 @@
 	var shards []uint32
 	items := 0
 	for _, covered := range answer.Covered {
-		require.True(m.t, r.valid[covered.Shard], "covered without a true part")
+		require.True(m.t, r.valid[covered.Shard], "covered without a correct part")
 		shards = append(shards, covered.Shard)
 		if answer.Err == nil {
 			items += covered.Items
--- a/internal/query/policy.go
+++ b/internal/query/policy.go
@@ -12,57 +12,57 @@
 	elapsed := e.now.Sub(r.arrived)
 	final := !e.now.Before(r.decideBy)
 	if final {
-		// A caller's deadline may be shorter than the policy's. The operator's
-		// word for the last moment then counts at this one.
+		// A caller's deadline may be shorter than the policy's. The policy's statements
+		// for its own deadline then apply at the caller's.
 		elapsed = max(elapsed, r.route.Policy.Deadline)
 	}
-	for r.moment < len(r.route.moments) && r.route.moments[r.moment] <= elapsed {
-		r.moment++
+	for r.nextThreshold < len(r.route.elapsedThresholds) && r.route.elapsedThresholds[r.nextThreshold] <= elapsed {
+		r.nextThreshold++
 	}
-	action := e.actionOf(r, elapsed, final)
+	action := e.chooseAction(r, elapsed, final)
 	switch action {
 	case plan.ActionAnswer:
-		e.answer(r)
+		e.respondWithParts(r)
 	case plan.ActionFail:
-		e.giveUp(r)
+		e.failByPolicy(r)
 	default:
 		return false
 	}
 	return true
 }
 
-// actionOf returns what is to be done now, or 0 for nothing yet.
-func (e *Engine) actionOf(r *request, elapsed time.Duration, final bool) plan.Action {
+// chooseAction returns the action to take now, or 0 for none yet.
+func (e *Engine) chooseAction(r *request, elapsed time.Duration, final bool) plan.Action {
 	if e.config.Tuning.waitsForAll() {
 		if r.open == 0 || final {
 			return plan.ActionAnswer
 		}
 		return 0
 	}
-	action := r.firstAction(elapsed)
+	action := r.matchingAction(elapsed)
 	if action == 0 && final {
 		return plan.ActionAnswer
 	}
 	if action == 0 && r.open == 0 {
-		return r.foregoneAction()
+		return r.eventualAction()
 	}
 	return action
 }
 
-// foregoneAction is what a request without open shards will come to. Only the
-// time can still change a condition, so the policy's later moments are looked
-// at now: waiting for them would make the same answer later.
-func (r *request) foregoneAction() plan.Action {
-	for _, moment := range r.route.moments[r.moment:] {
-		if action := r.firstAction(moment); action != 0 {
+// eventualAction returns the action that a request without open shards will reach.
+// Only elapsed time can still change a condition, so the policy's later thresholds
+// are evaluated now: waiting for them would only delay the same answer.
+func (r *request) eventualAction() plan.Action {
+	for _, threshold := range r.route.elapsedThresholds[r.nextThreshold:] {
+		if action := r.matchingAction(threshold); action != 0 {
 			return action
 		}
 	}
 	return plan.ActionAnswer
 }
 
-// firstAction is the action of the first statement that holds, or 0.
-func (r *request) firstAction(elapsed time.Duration) plan.Action {
+// matchingAction is the action of the first statement that holds, or 0.
+func (r *request) matchingAction(elapsed time.Duration) plan.Action {
 	for index := range r.route.Policy.Statements {
 		statement := &r.route.Policy.Statements[index]
 		if r.holds(&statement.Condition, elapsed) {
@@ -77,11 +77,11 @@
 	case plan.ConditionAlways:
 		return true
 	case plan.ConditionAll:
-		return r.countHolding(condition.Operands, elapsed) == len(condition.Operands)
+		return r.countTrue(condition.Operands, elapsed) == len(condition.Operands)
 	case plan.ConditionAny:
-		return r.countHolding(condition.Operands, elapsed) > 0
+		return r.countTrue(condition.Operands, elapsed) > 0
 	case plan.ConditionNot:
-		return r.countHolding(condition.Operands, elapsed) == 0
+		return r.countTrue(condition.Operands, elapsed) == 0
 	case plan.ConditionElapsed:
 		return elapsed >= condition.Duration
 	case plan.ConditionCoverage:
@@ -95,7 +95,7 @@
 	}
 }
 
-func (r *request) countHolding(operands []plan.Condition, elapsed time.Duration) int {
+func (r *request) countTrue(operands []plan.Condition, elapsed time.Duration) int {
 	count := 0
 	for index := range operands {
 		if r.holds(&operands[index], elapsed) {
@@ -105,8 +105,8 @@
 	return count
 }
 
-// coversAll reports whether all named shards are covered. A request by key
-// targets one shard alone, so that no other can be covered.
+// coversAll reports whether all named shards are covered. A request by key targets
+// only one shard, so no other can be covered.
 func (r *request) coversAll(names []string) bool {
 	for _, name := range names {
 		index, known := r.partition.names[name]
--- a/internal/query/policy_test.go
+++ b/internal/query/policy_test.go
@@ -11,9 +11,9 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// patientPolicy waits for whole coverage, takes half from 60 ms on and fails at
-// 150 ms. It has no word for a request that nothing is left to wait for.
-func patientPolicy() plan.Policy {
+// fullCoveragePolicy waits for full coverage, accepts half from 60 ms on and fails at
+// 150 ms. No statement applies to a request as soon as no shard is open.
+func fullCoveragePolicy() plan.Policy {
 	policy := testPolicy()
 	policy.Hedge, policy.Retry = plan.Hedge{}, plan.Retry{}
 	coverage := func(ratio float64) plan.Condition {
@@ -37,53 +37,55 @@
 }
 
 func TestARequestThatNothingCanChangeIsAnsweredAtOnce(t *testing.T) {
-	h := newHarness(t, Config{Zone: "a"}, testPlan(2, 1, patientPolicy()))
+	h := newHarness(t, Config{Zone: "a"}, testPlan(2, 1, fullCoveragePolicy()))
 
-	sends := only[Send](h.arrive())
-	require.Empty(t, only[Respond](h.after(time.Millisecond, part(sends[0]))))
-	answers := only[Respond](h.after(time.Millisecond, refused(sends[1])))
-	require.Len(t, answers, 1, "half of the parts are what the policy takes at 60 ms")
+	sends := commandsOf[Send](h.arrive())
+	require.Empty(t, commandsOf[Respond](h.after(time.Millisecond, part(sends[0]))))
+	answers := commandsOf[Respond](h.after(time.Millisecond, refused(sends[1])))
+	require.Len(t, answers, 1, "the policy accepts half of the parts at 60 ms")
 	require.Nil(t, answers[0].Answer.Err)
 	require.Len(t, answers[0].Answer.Missing, 1)
 
-	sends = only[Send](h.arrive())
-	require.Empty(t, only[Respond](h.after(time.Millisecond, refused(sends[0]))))
-	answers = only[Respond](h.after(time.Millisecond, refused(sends[1])))
-	require.Len(t, answers, 1, "no part at all fails at 150 ms, and so it does now")
+	sends = commandsOf[Send](h.arrive())
+	require.Empty(t, commandsOf[Respond](h.after(time.Millisecond, refused(sends[0]))))
+	answers = commandsOf[Respond](h.after(time.Millisecond, refused(sends[1])))
+	require.Len(t, answers, 1, "without any part the policy fails at 150 ms, so the request fails now")
 	require.Equal(t, verdict.ReasonCoverage, answers[0].Answer.Err.Reason)
 	require.Equal(t, verdict.NotRun, answers[0].Answer.Verdict)
-	require.GreaterOrEqual(t, answers[0].Answer.Err.RetryAfter, leastRetryAfter)
+	require.GreaterOrEqual(t, answers[0].Answer.Err.RetryAfter, minRetryAfter)
 }
 
-// TestRefusalsSayWhenToComeBack fills the queues until a request is refused.
-func TestRefusalsSayWhenToComeBack(t *testing.T) {
+// Guards against refusals for load without a bounded RetryAfter hint. The queues are
+// filled until a request is refused.
+func TestRefusalsHaveABoundedRetryAfter(t *testing.T) {
 	h := newHarness(t, Config{Zone: "a"}, testPlan(2, 1, testPolicy()))
-	for _, send := range only[Send](h.arrive()) { // to know how long attempts take
+	for _, send := range commandsOf[Send](h.arrive()) { // provides a typical latency
 		h.after(5*time.Millisecond, part(send))
 	}
 	const most = 1000
 	for range most {
-		answers := only[Respond](h.arrive())
+		answers := commandsOf[Respond](h.arrive())
 		if len(answers) == 0 {
 			continue
 		}
 		refusal := answers[0].Answer.Err
 		require.Equal(t, verdict.ReasonOverloaded, refusal.Reason)
 		require.Equal(t, verdict.NotRun, refusal.Verdict)
-		require.GreaterOrEqual(t, refusal.RetryAfter, leastRetryAfter)
-		require.LessOrEqual(t, refusal.RetryAfter, mostRetryAfter*3/2)
+		require.GreaterOrEqual(t, refusal.RetryAfter, minRetryAfter)
+		require.LessOrEqual(t, refusal.RetryAfter, maxRetryAfter*3/2)
 		return
 	}
 	require.Fail(t, "nothing was refused")
 }
 
-// TestOverloadIsNotAnsweredWithMoreAttempts lets every server refuse for load.
+// Guards against retries and hedges that amplify an overload. Every server refuses
+// all attempts for load.
 func TestOverloadIsNotAnsweredWithMoreAttempts(t *testing.T) {
 	policy := testPolicy()
 	h := newHarness(t, Config{Zone: "a"}, testPlan(2, 2, policy))
 	firsts, extras := 0, 0
 	for range 200 {
-		queue := only[Send](h.arrive())
+		queue := commandsOf[Send](h.arrive())
 		for len(queue) > 0 {
 			if queue[0].Retry || queue[0].Hedge {
 				extras++
@@ -92,26 +94,26 @@
 			}
 			failed := refused(queue[0])
 			failed.Report = Report{Known: true, Load: backendapi.Load{InFlight: 2, Slots: 2, Queued: 8}}
-			queue = append(queue[1:], only[Send](h.after(100*time.Microsecond, failed))...)
+			queue = append(queue[1:], commandsOf[Send](h.after(100*time.Microsecond, failed))...)
 		}
-		firsts += len(only[Send](h.after(10*time.Millisecond, TimerFired{})))
+		firsts += len(commandsOf[Send](h.after(10*time.Millisecond, TimerFired{})))
 		require.LessOrEqual(t, float64(extras), 20+0.15*float64(firsts))
 	}
 }
 
-// TestAVersionIsPinnedOnceItHasCapacity brings a version to the four replicas
-// of one shard in turn.
+// Guards against a version that is pinned while too few replicas serve it. The four
+// replicas of one shard load the version one after another.
 func TestAVersionIsPinnedOnceItHasCapacity(t *testing.T) {
 	h := newHarness(t, Config{Zone: "a"}, testPlan(1, 4, testPolicy()))
 	pinned := func() uint64 {
-		send := only[Send](h.arrive())[0]
+		send := commandsOf[Send](h.arrive())[0]
 		h.after(time.Millisecond, part(send))
 		return send.Version
 	}
 	h.report(serverAddress(0, 0), backendapi.StateReady, 1, 0, 1, 2)
 	require.Equal(t, uint64(1), pinned())
 	h.report(serverAddress(0, 1), backendapi.StateReady, 1, 0, 1, 2)
-	require.Equal(t, uint64(2), pinned(), "half of the slots will do")
+	require.Equal(t, uint64(2), pinned(), "half of the slots suffice")
 	for replica := range 3 {
 		h.report(serverAddress(0, replica+1), backendapi.StateReady, 1, 0, 1)
 	}
@@ -123,15 +125,15 @@
 	require.Equal(t, uint64(2), pinned(), "little capacity is better than none")
 }
 
-// A queue at the replicas makes a request late though nothing waits in the
-// router: it is refused while that queue stands, and taken in as soon as it is
-// gone, however slow the replicas were. A shard that is late by itself is
-// spared where the policy answers without it.
+// A queue at the replicas makes a request late even if nothing waits in the router:
+// requests are refused while that queue exists, and admitted as soon as it is empty,
+// however slow the replicas were. A shard that is slow without a queue does not cause
+// a refusal if the policy answers without it.
 func TestRequestsAreRefusedWhileReplicasQueueForTooLong(t *testing.T) {
-	const shards, moment, busy, slow, queued = 4, 40 * time.Millisecond, 30 * time.Millisecond, 50 * time.Millisecond, 2
+	const shards, threshold, busy, slow, queued = 4, 40 * time.Millisecond, 30 * time.Millisecond, 50 * time.Millisecond, 2
 	policy := testPolicy()
 	policy.Hedge = plan.Hedge{}
-	late := plan.Condition{Kind: plan.ConditionElapsed, Duration: moment}
+	late := plan.Condition{Kind: plan.ConditionElapsed, Duration: threshold}
 	policy.Statements = append(policy.Statements, plan.Statement{Action: plan.ActionAnswer, Condition: plan.Condition{
 		Kind: plan.ConditionAll, Operands: []plan.Condition{{Kind: plan.ConditionCoverage, Ratio: 0.75}, late},
 	}})
@@ -140,51 +142,52 @@
 		arrived.Report = Report{Known: true, Load: backendapi.Load{InFlight: 2, Slots: 2, Queued: waiting}}
 		return arrived
 	}
-	for _, once := range []struct {
+	for _, test := range []struct {
 		took   time.Duration
 		shards int
 		taken  bool
 	}{{busy, 1, false}, {slow, 1, true}, {slow, 2, false}} {
 		h := newHarness(t, Config{Zone: "a"}, testPlan(shards, 1, policy))
-		first, second, third := only[Send](h.arrive()), only[Send](h.arrive()), only[Send](h.arrive())
+		first, second, third := commandsOf[Send](h.arrive()), commandsOf[Send](h.arrive()), commandsOf[Send](h.arrive())
 		require.Len(t, third, shards)
-		h.now = h.now.Add(once.took)
-		for _, send := range first[:once.shards] {
+		h.now = h.now.Add(test.took)
+		for _, send := range first[:test.shards] {
 			h.step(queue(send, queued))
 		}
-		answers := only[Respond](h.arrive())
-		if once.taken {
+		answers := commandsOf[Respond](h.arrive())
+		if test.taken {
 			require.Empty(t, answers)
 			continue
 		}
-		require.Len(t, answers, 1, "%+v", once)
+		require.Len(t, answers, 1, "%+v", test)
 		require.Equal(t, verdict.ReasonOverloaded, answers[0].Answer.Err.Reason)
 		require.Equal(t, verdict.NotRun, answers[0].Answer.Verdict)
 		for _, send := range append(second, third...) {
 			h.step(queue(send, 0))
 		}
-		require.Len(t, only[Send](h.arrive()), shards)
+		require.Len(t, commandsOf[Send](h.arrive()), shards)
 	}
 }
 
-// Where the budget earns no more than ordinary hedges spend, the larger part of
-// its burst waits for attempts at servers that stall.
+// Guards against ordinary hedges that use up the tokens for stalled servers. If the
+// budget earns no more than ordinary hedges spend, most of its burst is reserved for
+// attempts at servers that stall.
 func TestHedgesLeaveTokensForServersThatStall(t *testing.T) {
 	const usual, due, stalled = 5 * time.Millisecond, 7 * time.Millisecond, 20 * time.Millisecond
 	h := newHarness(t, Config{Zone: "a"}, testPlan(1, 2, testPolicy()))
-	for range 2 * leastObservations {
-		send := only[Send](h.arrive())[0]
+	for range 2 * minObservations {
+		send := commandsOf[Send](h.arrive())[0]
 		h.after(usual, part(send))
 	}
 	hedges := 0
 	for range 2 * int(h.plan.Services[0].HedgeBudget.Burst) {
-		send := only[Send](h.arrive())[0]
-		hedges += len(only[Send](h.after(due, TimerFired{})))
+		send := commandsOf[Send](h.arrive())[0]
+		hedges += len(commandsOf[Send](h.after(due, TimerFired{})))
 		h.step(part(send))
 	}
 	require.NotZero(t, hedges)
-	require.LessOrEqual(t, hedges, 3, "10 tokens, of which 7 are kept, and 1 earned by 20 attempts")
+	require.LessOrEqual(t, hedges, 3, "10 tokens, of which 7 are reserved, and 1 earned by 20 attempts")
 	h.arrive()
-	require.Empty(t, only[Send](h.after(due, TimerFired{})))
-	require.Len(t, only[Send](h.after(stalled, TimerFired{})), 1)
+	require.Empty(t, commandsOf[Send](h.after(due, TimerFired{})))
+	require.Len(t, commandsOf[Send](h.after(stalled, TimerFired{})), 1)
 }
--- a/internal/query/property_test.go
+++ b/internal/query/property_test.go
@@ -15,14 +15,15 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// TestEngineKeepsItsPromises draws events and holds the engine to what they have made true.
+// Checks the engine's commands against a model under random events.
 //
-// Its kept seed 20261202170422-1472 sent work to a server that was known to leave. The steps that
-// rapid prints: the server drains and is ready again; then a list says that it leaves; then a
-// list says that it lives, and the pool believed that at once because it had seen the return,
-// though the return was before the departure that the first list told of. Now a return counts
-// only with the server's own word since (balancer's presence).
-func TestEngineKeepsItsPromises(t *testing.T) {
+// The stored failure 20261202170422-1472 guards against work for a server that is
+// known to drain: the server drains and becomes ready again, a list reports that it
+// drains, and a later list reports that it is live. The pool trusted the last list at
+// once because it had observed a return, although that return preceded the departure
+// reported by the first list. A return now counts only if the server itself reported
+// ready since then (presence in package balancer).
+func TestEngineMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, Config{Zone: "a", Seed: rapid.Uint64().Draw(t, "seed"), MaxInFlight: 30})
 		t.Repeat(map[string]func(*rapid.T){
@@ -30,14 +31,14 @@
 			"arrive2":  m.doArrive,
 			"answer":   m.doAnswer,
 			"answer2":  m.doAnswer,
-			"falsify":  m.doFalsify,
+			"falsify":  m.doCorruptEcho,
 			"fail":     m.doFail,
 			"advance":  m.doAdvance,
 			"lease":    m.doLease,
 			"health":   m.doHealth,
 			"machine":  m.doMachine,
 			"share":    m.doShare,
-			"gone":     m.doCallerGone,
+			"gone":     m.doCallerDisconnected,
 			"claim":    m.doClaim,
 			"generate": m.doRepartition,
 			"roll":     m.doRoll,
@@ -56,10 +57,10 @@
 	m.apply(RequestArrived{Request: request})
 }
 
-// takeAttempt draws an attempt that is out, and ends it in the model.
+// takeAttempt picks an attempt in flight and ends it in the model.
 func (m *model) takeAttempt(t *rapid.T) (Send, *modelRequest) {
 	if len(m.order) == 0 {
-		t.Skip("no attempt out")
+		t.Skip("no attempt in flight")
 	}
 	index := rapid.IntRange(0, len(m.order)-1).Draw(t, "attempt")
 	send := m.attempts[m.order[index]]
@@ -71,10 +72,10 @@
 
 func (m *model) doAnswer(t *rapid.T) {
 	send, r := m.takeAttempt(t)
-	m.answerTruly(send, r)
+	m.answerCorrectly(send, r)
 }
 
-func (m *model) answerTruly(send Send, r *modelRequest) {
+func (m *model) answerCorrectly(send Send, r *modelRequest) {
 	r.parts++
 	r.unsafe[send.Shard] = true
 	if r.snapshot.Generation == send.Generation && r.snapshot.Version == send.Version {
@@ -83,7 +84,7 @@
 	m.apply(part(send))
 }
 
-func (m *model) doFalsify(t *rapid.T) {
+func (m *model) doCorruptEcho(t *rapid.T) {
 	send, r := m.takeAttempt(t)
 	r.unsafe[send.Shard] = true
 	reply := part(send)
@@ -98,7 +99,7 @@
 		reply.Echo.RequestDigest = "another"
 	}
 	if r.answered {
-		// Nobody waits for this part; only that it was executed is of interest.
+		// The part is no longer needed; only its execution matters.
 		reply.Echo = part(send).Echo
 		r.parts++
 	}
@@ -121,7 +122,7 @@
 		r.unsafe[send.Shard] = true
 	}
 	if failed.Reason == verdict.ReasonDraining {
-		m.leaving[send.Address] = true
+		m.draining[send.Address] = true
 	}
 	m.apply(failed)
 }
@@ -140,7 +141,7 @@
 
 func (m *model) advance(duration time.Duration) {
 	m.now = m.now.Add(duration)
-	if !m.wakeAt.IsZero() && !m.now.Before(m.wakeAt) {
+	if !m.timerAt.IsZero() && !m.now.Before(m.timerAt) {
 		m.apply(TimerFired{})
 	}
 }
@@ -162,16 +163,16 @@
 	switch {
 	case !event.Reachable:
 	case event.Health.State == backendapi.StateReady:
-		delete(m.leaving, address)
+		delete(m.draining, address)
 	default:
-		m.leaving[address] = true
+		m.draining[address] = true
 	}
 	m.apply(event)
 }
 
-// doRoll takes an index version away from all replicas of a shard that a request
-// waits for, while all others still hold it beside the next, and lets one of the
-// shard's attempts be refused for that.
+// doRoll removes an index version from all replicas of a shard with an attempt in
+// flight, while the others hold it along with the next version, and refuses that
+// attempt for the missing version.
 func (m *model) doRoll(t *rapid.T) {
 	send, r := m.takeAttempt(t)
 	for shard := range modelShards {
@@ -180,7 +181,7 @@
 			if uint32(shard) == send.Shard {
 				versions = versions[1:]
 			}
-			delete(m.leaving, address)
+			delete(m.draining, address)
 			m.apply(m.health(address, backendapi.StateReady, versions...))
 		}
 	}
@@ -192,7 +193,7 @@
 	event := MachineObserved{Address: drawAddress(t)}
 	event.State = rapid.SampledFrom([]MachineState{MachineLive, MachineLive, MachineLeaving}).Draw(t, "state")
 	if event.State != MachineLive {
-		m.leaving[event.Address] = true
+		m.draining[event.Address] = true
 	}
 	m.apply(event)
 }
@@ -203,7 +204,7 @@
 	m.apply(ShareChanged{Address: address, Slots: share, Connections: share})
 }
 
-func (m *model) doCallerGone(t *rapid.T) {
+func (m *model) doCallerDisconnected(t *rapid.T) {
 	if m.next > 0 {
 		m.apply(CallerGone{Request: RequestID(rapid.Uint64Range(1, uint64(m.next)).Draw(t, "request"))})
 	}
@@ -211,7 +212,7 @@
 
 func (m *model) doClaim(t *rapid.T) {
 	if len(m.claims) == 0 {
-		t.Skip("no claim asked for")
+		t.Skip("no claim requested")
 	}
 	m.decideClaim(rapid.SampledFrom([]ClaimDecision{
 		ClaimGranted, ClaimGranted, ClaimGranted, ClaimHeldMayHaveRun, ClaimHeldRan, ClaimExpired,
@@ -226,7 +227,7 @@
 	m.apply(ClaimDecided{Request: id, Decision: decision})
 }
 
-// doRepartition starts or ends the time in which two shard maps are live.
+// doRepartition starts or ends a period with two live shard maps.
 func (m *model) doRepartition(*rapid.T) {
 	changed := *m.plan
 	changed.Services = slices.Clone(m.plan.Services)
@@ -239,7 +240,7 @@
 	m.reinstall()
 }
 
-// finish ends everything that is out and checks that nothing is left over.
+// finish ends everything in flight and checks that no state is left.
 func (m *model) finish() {
 	m.apply(StopRequested{})
 	for len(m.claims) > 0 {
@@ -253,7 +254,7 @@
 		m.order = m.order[1:]
 		delete(m.attempts, send.Attempt)
 		m.inFlight[send.Address]--
-		m.answerTruly(send, m.requests[send.Request])
+		m.answerCorrectly(send, m.requests[send.Request])
 	}
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
 		r := m.requests[id]
@@ -261,7 +262,7 @@
 		require.Equal(m.t, r.granted, r.settled, "claim of request %d", id)
 	}
 	require.Equal(m.t, 1, m.stopped)
-	require.Zero(m.t, m.engine.waiting)
+	require.Zero(m.t, m.engine.waitingShards)
 	require.Empty(m.t, m.engine.requests)
 	for shard := range modelShards {
 		for replica := range modelReplicas {
--- a/internal/query/records.go
+++ b/internal/query/records.go
@@ -6,25 +6,25 @@
 	"github.com/martenstage/martenstage/internal/journal"
 )
 
-// maxEventKeys bounds the memory for the limit on events.
+// maxEventKeys bounds the number of keys that the rate limit on events keeps.
 const maxEventKeys = 4096
 
-// eventKey tells events apart for the limit on their rate.
+// eventKey identifies equal events for the rate limit.
 type eventKey struct {
 	kind                            journal.Kind
 	service, shard, address, detail string
 }
 
-// eventLimiter lets the first of equal events pass at once and folds those
-// that follow within an interval into one.
+// eventLimiter passes the first of equal events at once and aggregates those that
+// follow within an interval into one.
 type eventLimiter struct {
-	interval time.Duration
-	passed   map[eventKey]time.Time
-	folded   []journal.Event
+	interval     time.Duration
+	lastRecorded map[eventKey]time.Time
+	aggregated   []journal.Event
 }
 
 func newEventLimiter(interval time.Duration) eventLimiter {
-	return eventLimiter{interval: interval, passed: make(map[eventKey]time.Time)}
+	return eventLimiter{interval: interval, lastRecorded: make(map[eventKey]time.Time)}
 }
 
 func keyOf(event journal.Event) eventKey {
@@ -33,42 +33,42 @@
 	}
 }
 
-// admit reports whether the event passes now; otherwise it is folded.
+// admit reports whether the event passes now; otherwise it is aggregated.
 func (l *eventLimiter) admit(now time.Time, event journal.Event) bool {
 	key := keyOf(event)
-	passed, known := l.passed[key]
-	if !known || now.Sub(passed) >= l.interval {
+	recorded, known := l.lastRecorded[key]
+	if !known || now.Sub(recorded) >= l.interval {
 		l.prune(now)
-		l.passed[key] = now
+		l.lastRecorded[key] = now
 		return true
 	}
-	for index := range l.folded {
-		if folded := &l.folded[index]; keyOf(*folded) == key {
-			folded.Count++
-			folded.LastTime = now
+	for index := range l.aggregated {
+		if stored := &l.aggregated[index]; keyOf(*stored) == key {
+			stored.Count++
+			stored.LastTime = now
 			return false
 		}
 	}
-	l.folded = append(l.folded, event)
+	l.aggregated = append(l.aggregated, event)
 	return false
 }
 
 func (l *eventLimiter) prune(now time.Time) {
-	if len(l.passed) < maxEventKeys {
+	if len(l.lastRecorded) < maxEventKeys {
 		return
 	}
-	for key, passed := range l.passed {
-		if now.Sub(passed) >= l.interval {
-			delete(l.passed, key)
+	for key, recorded := range l.lastRecorded {
+		if now.Sub(recorded) >= l.interval {
+			delete(l.lastRecorded, key)
 		}
 	}
 }
 
-// nextFlush is when the first folded event is due; zero for none.
+// nextFlush is when the first aggregated event is due; zero for none.
 func (l *eventLimiter) nextFlush() time.Time {
 	var next time.Time
-	for index := range l.folded {
-		due := l.passed[keyOf(l.folded[index])].Add(l.interval)
+	for index := range l.aggregated {
+		due := l.lastRecorded[keyOf(l.aggregated[index])].Add(l.interval)
 		if next.IsZero() || due.Before(next) {
 			next = due
 		}
@@ -76,8 +76,7 @@
 	return next
 }
 
-// record writes an event to the journal, at a limited rate per kind and
-// subject.
+// record writes an event to the journal, at a limited rate per eventKey.
 func (e *Engine) record(event journal.Event) {
 	event.Time, event.LastTime, event.Count = e.now, e.now, 1
 	if e.events.admit(e.now, event) {
@@ -85,25 +84,25 @@
 	}
 }
 
-// flushEvents writes the folded events whose interval is over.
+// flushEvents writes the aggregated events whose interval is over.
 func (e *Engine) flushEvents() {
-	kept := e.events.folded[:0]
-	for _, event := range e.events.folded {
+	kept := e.events.aggregated[:0]
+	for _, event := range e.events.aggregated {
 		key := keyOf(event)
-		if e.now.Sub(e.events.passed[key]) < e.events.interval {
+		if e.now.Sub(e.events.lastRecorded[key]) < e.events.interval {
 			kept = append(kept, event)
 			continue
 		}
-		e.events.passed[key] = e.now
+		e.events.lastRecorded[key] = e.now
 		e.emit(Record{Event: event})
 	}
-	e.events.folded = kept
+	e.events.aggregated = kept
 }
 
-// flushAllEvents writes what is folded without waiting for the intervals.
+// flushAllEvents writes all aggregated events without waiting for their intervals.
 func (e *Engine) flushAllEvents() {
-	for _, event := range e.events.folded {
+	for _, event := range e.events.aggregated {
 		e.emit(Record{Event: event})
 	}
-	e.events.folded = nil
+	e.events.aggregated = nil
 }
--- a/internal/query/replies.go
+++ b/internal/query/replies.go
@@ -6,37 +6,37 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// partArrived takes in a reply. A part counts only if the back end's echo
+// partArrived processes a reply. A part is accepted only if the back end's echo
 // proves that it answers this request, shard and snapshot.
 func (e *Engine) partArrived(event PartArrived) {
 	entry := e.attempts.get(event.Attempt)
 	if entry == nil {
 		return
 	}
-	if !entry.verifies(event.Echo) {
-		e.rejectEcho(entry)
-		e.endAttempt(AttemptFailed{
+	if !entry.matchesEcho(event.Echo) {
+		e.recordBadEcho(entry)
+		e.failAttempt(AttemptFailed{
 			Attempt: event.Attempt, Verdict: verdict.MayHaveRun, Reason: verdict.ReasonBadEcho, Report: event.Report,
 		})
 		return
 	}
-	ended := e.takeAttempt(event.Attempt, event.Report)
+	ended := e.completeAttempt(event.Attempt, event.Report)
 	e.pool.Finish(e.now, ended.group, ended.server, balancer.Result{
 		Outcome: balancer.Answered, Elapsed: e.now.Sub(ended.sent),
 	})
-	if event.Report.observes() {
+	if event.Report.replacesProbe() {
 		e.pool.ObserveServing(ended.server, ended.sent)
 	}
 	if r := ended.request; r != nil {
 		r.ran = true
-		e.cover(r, ended, event)
+		e.addPart(r, ended, event)
 	}
-	e.serveWaiting(ended.server)
+	e.dispatchWaiting(ended.server)
 }
 
-// verifies compares the echo with what was asked. An attempt that nobody
-// waits for is not compared: its part is dropped anyway.
-func (a *attempt) verifies(echo Echo) bool {
+// matchesEcho compares the echo with the query that was sent. An attempt without a
+// request is not compared: its part is dropped anyway.
+func (a *attempt) matchesEcho(echo Echo) bool {
 	r := a.request
 	if r == nil {
 		return true
@@ -45,18 +45,18 @@
 		echo.Generation == a.generation && echo.Version == a.version && echo.RequestDigest == r.BodyDigest
 }
 
-func (e *Engine) rejectEcho(entry *attempt) {
+func (e *Engine) recordBadEcho(entry *attempt) {
 	e.record(journal.Event{
 		Kind: journal.KindBadEcho, Service: entry.group.Generation().Service, Shard: entry.group.Name,
 		Address: entry.server.Address.String(),
 	})
 }
 
-// cover takes a part into a request that still wants it and ends the shard's
-// other attempts.
-func (e *Engine) cover(r *request, ended attempt, event PartArrived) {
+// addPart adds a part to a request that still needs it and cancels the shard's other
+// attempts.
+func (e *Engine) addPart(r *request, ended attempt, event PartArrived) {
 	if r.phase != phaseRunning {
-		e.settleIfKnown(r)
+		e.settleClaimIfResolved(r)
 		return
 	}
 	shard := &r.shards[ended.shard]
@@ -65,16 +65,16 @@
 	}
 	shard.phase = shardCovered
 	shard.items = event.Part.Items
-	shard.took = e.now.Sub(r.arrived)
+	shard.elapsed = e.now.Sub(r.arrived)
 	r.open--
 	r.covered++
 	e.cancelShard(r, shard)
-	e.settleEvent(r)
+	e.advanceRequest(r)
 }
 
-// takeAttempt ends an attempt's entry and takes in what its reply said about
-// the server.
-func (e *Engine) takeAttempt(id AttemptID, report Report) attempt {
+// completeAttempt removes an attempt from the table and applies what its reply
+// reports about the server.
+func (e *Engine) completeAttempt(id AttemptID, report Report) attempt {
 	ended := *e.attempts.get(id)
 	e.attempts.remove(id)
 	if r := ended.request; r != nil {
@@ -90,28 +90,28 @@
 	return ended
 }
 
-// attemptFailed takes in the end of an attempt without a part.
+// attemptFailed processes the end of an attempt without a part.
 func (e *Engine) attemptFailed(event AttemptFailed) {
 	if e.attempts.get(event.Attempt) != nil {
-		e.endAttempt(event)
+		e.failAttempt(event)
 	}
 }
 
-func (e *Engine) endAttempt(event AttemptFailed) {
-	ended := e.takeAttempt(event.Attempt, event.Report)
+func (e *Engine) failAttempt(event AttemptFailed) {
+	ended := e.completeAttempt(event.Attempt, event.Report)
 	e.observeFailure(ended, event)
 	e.pool.Finish(e.now, ended.group, ended.server, balancer.Result{
 		Outcome: outcomeOf(ended, event), Elapsed: e.now.Sub(ended.sent),
 	})
 	if r := ended.request; r != nil {
 		r.ran = r.ran || event.Verdict == verdict.Ran
-		r.doubtful = r.doubtful || event.Verdict != verdict.NotRun
-		e.continueShard(r, ended, event)
+		r.mayHaveRun = r.mayHaveRun || event.Verdict != verdict.NotRun
+		e.retryOrFail(r, ended, event)
 	}
-	e.serveWaiting(ended.server)
+	e.dispatchWaiting(ended.server)
 }
 
-// observeFailure takes in what a refusal says about the server.
+// observeFailure applies what a refusal reveals about the server.
 func (e *Engine) observeFailure(ended attempt, event AttemptFailed) {
 	switch event.Reason {
 	case verdict.ReasonDraining:
@@ -121,8 +121,8 @@
 	}
 }
 
-// outcomeOf says what a failure means for the server. An attempt that this
-// engine cancelled says nothing: its age was taken in then.
+// outcomeOf maps a failure to its meaning for the server. An attempt that this engine
+// canceled reveals nothing further: its elapsed time was observed at that point.
 func outcomeOf(ended attempt, event AttemptFailed) balancer.Outcome {
 	if ended.canceled {
 		return balancer.Refused
@@ -137,24 +137,24 @@
 	}
 }
 
-// continueShard decides what follows a failed attempt of a shard.
-func (e *Engine) continueShard(r *request, ended attempt, event AttemptFailed) {
+// retryOrFail decides how to proceed after a failed attempt of a shard.
+func (e *Engine) retryOrFail(r *request, ended attempt, event AttemptFailed) {
 	if r.phase != phaseRunning {
-		e.settleIfKnown(r)
+		e.settleClaimIfResolved(r)
 		return
 	}
 	shard := &r.shards[ended.shard]
-	if !shard.isOpen() || shard.outCount > 0 || shard.phase != shardSent {
+	if !shard.isOpen() || shard.inFlightCount > 0 || shard.phase != shardSent {
 		return
 	}
 	shard.reason = event.Reason
 	e.retry(r, ended.shard, event)
-	e.settleEvent(r)
+	e.advanceRequest(r)
 }
 
-// cancelShard ends the attempts of a shard that nobody waits for any more.
+// cancelShard cancels the attempts of a shard that are no longer needed.
 func (e *Engine) cancelShard(r *request, shard *shardState) {
-	for _, id := range shard.out[:shard.outCount] {
+	for _, id := range shard.inFlight[:shard.inFlightCount] {
 		entry := e.attempts.get(id)
 		if entry.canceled {
 			continue
@@ -165,14 +165,14 @@
 	}
 }
 
-// detachAttempts forgets the request of attempts whose outcome has not come.
+// detachAttempts removes the request from its attempts in flight.
 func (e *Engine) detachAttempts(r *request) {
 	for index := range r.shards {
 		shard := &r.shards[index]
-		for _, id := range shard.out[:shard.outCount] {
+		for _, id := range shard.inFlight[:shard.inFlightCount] {
 			e.attempts.get(id).request = nil
 		}
-		shard.outCount = 0
+		shard.inFlightCount = 0
 	}
 	r.outstanding = 0
 }
--- a/internal/query/request.go
+++ b/internal/query/request.go
@@ -15,27 +15,27 @@
 const (
 	// phaseClaiming waits for the decision on its claim; nothing was sent.
 	phaseClaiming phase = iota + 1
-	// phaseRunning has attempts out, waiting or planned.
+	// phaseRunning has attempts in flight, queued or planned.
 	phaseRunning
-	// phaseSettling was answered and waits for the outcome of attempts that
-	// decides about its claim.
+	// phaseSettling was answered and waits for the attempt outcomes that decide how
+	// its claim is settled.
 	phaseSettling
-	// phaseEnded is left over; the object may be used again.
+	// phaseEnded has finished; the object may be reused.
 	phaseEnded
 )
 
-// request is one request under way.
+// request is one request in flight.
 type request struct {
 	Request
-	// sequence tells uses of the object apart, for timers and waiters that
-	// outlive a request.
+	// sequence distinguishes uses of the object, for timers and waiters that outlive a
+	// request.
 	sequence uint64
 	phase    phase
 	route    *routeView
 	revision uint64
 	arrived  time.Time
-	// deadline is when the answer is late; decideBy, a little earlier, is when
-	// the last decision is taken.
+	// The answer is late after deadline; decideBy, a little earlier, is the time of
+	// the final decision.
 	deadline time.Time
 	decideBy time.Time
 
@@ -44,104 +44,104 @@
 	shards    []shardState
 	open      int
 	covered   int
-	// outstanding counts attempts whose outcome has not come.
+	// outstanding counts attempts whose outcome is not known yet.
 	outstanding int
-	// ran and doubtful fold the outcomes that have come.
-	ran      bool
-	doubtful bool
-	counts   AttemptCounts
-	restarts int
-	// vanished is set when a shard found no replica with the version any more.
-	vanished bool
-	// moment is the index of the next of the route's moments.
-	moment int
-	// due is when the request's timer fires; soonest is the earliest moment
-	// that a shard has asked for since that timer was set.
-	due     time.Time
-	soonest time.Time
+	// ran and mayHaveRun summarize the outcomes so far.
+	ran        bool
+	mayHaveRun bool
+	counts     AttemptCounts
+	restarts   int
+	// versionLost is set when a shard no longer has a replica with the version.
+	versionLost bool
+	// nextThreshold is the index of the route's next elapsed threshold.
+	nextThreshold int
+	// due is when the request's timer fires; earliestDue is the earliest time
+	// requested by a shard since that timer was set.
+	due         time.Time
+	earliestDue time.Time
 }
 
 // shardPhase is the state of one target shard of a request.
 type shardPhase uint8
 
 const (
-	// shardSent has at least one attempt out.
+	// shardSent has at least one attempt in flight.
 	shardSent shardPhase = iota + 1
-	// shardWaiting waits in the queue for a place at a replica.
+	// shardWaiting is queued for a free slot at a replica.
 	shardWaiting
-	// shardPausing waits to retry on a replica that it tried already.
-	shardPausing
+	// shardBackingOff waits before retrying on replicas that it already tried.
+	shardBackingOff
 	shardCovered
 	shardFailed
 )
 
-// maxAttemptsOut bounds the attempts that are out at a time for one shard, and
-// maxTried the replicas that are remembered as tried.
+// maxInFlightPerShard bounds the concurrent attempts for one shard, and maxTried the
+// replicas that are recorded as tried.
 const (
-	maxAttemptsOut = 4
-	maxTried       = 6
+	maxInFlightPerShard = 4
+	maxTried            = 6
 )
 
 // shardState is one target shard of a request.
 type shardState struct {
-	group     *balancer.Group
-	phase     shardPhase
-	hedges    uint8
-	retries   uint8
-	outCount  uint8
-	triedSize uint8
-	// again marks a waiting shard whose next attempt is a retry.
-	again  bool
-	out    [maxAttemptsOut]AttemptID
-	tried  [maxTried]*balancer.Server
-	due    time.Time
-	reason verdict.Reason
-	items  []json.RawMessage
-	took   time.Duration
+	group         *balancer.Group
+	phase         shardPhase
+	hedges        uint8
+	retries       uint8
+	inFlightCount uint8
+	triedCount    uint8
+	// retrying marks a waiting shard whose next attempt is a retry.
+	retrying bool
+	inFlight [maxInFlightPerShard]AttemptID
+	tried    [maxTried]*balancer.Server
+	due      time.Time
+	reason   verdict.Reason
+	items    []json.RawMessage
+	elapsed  time.Duration
 }
 
 func (s *shardState) isOpen() bool { return s.phase < shardCovered }
 
-// triedServers returns the replicas that the shard was sent to.
-func (s *shardState) triedServers() []*balancer.Server { return s.tried[:s.triedSize] }
+// triedServers returns the replicas to which attempts of the shard were sent.
+func (s *shardState) triedServers() []*balancer.Server { return s.tried[:s.triedCount] }
 
 func (s *shardState) addAttempt(id AttemptID, server *balancer.Server) {
-	s.out[s.outCount] = id
-	s.outCount++
-	if s.triedSize < maxTried {
-		s.tried[s.triedSize] = server
-		s.triedSize++
+	s.inFlight[s.inFlightCount] = id
+	s.inFlightCount++
+	if s.triedCount < maxTried {
+		s.tried[s.triedCount] = server
+		s.triedCount++
 	}
 }
 
 func (s *shardState) removeAttempt(id AttemptID) {
-	for index := range s.outCount {
-		if s.out[index] == id {
-			s.outCount--
-			s.out[index] = s.out[s.outCount]
+	for index := range s.inFlightCount {
+		if s.inFlight[index] == id {
+			s.inFlightCount--
+			s.inFlight[index] = s.inFlight[s.inFlightCount]
 			return
 		}
 	}
 }
 
-// Shares and bounds of the time between the last decision and the deadline,
-// which lets an answer reach its caller in time.
+// The final decision precedes the deadline by a fraction of the request's time,
+// bounded by maxDecisionMargin, so that the answer reaches its caller in time.
 const (
-	decideShare = 20
-	decideMost  = 3 * time.Millisecond
+	decisionMarginDivisor = 20
+	maxDecisionMargin     = 3 * time.Millisecond
 )
 
-// newRequest takes a request in. Its deadline is the policy's or, when that is
-// earlier, the caller's own.
+// newRequest admits a request. Its deadline is the policy's or, when that is earlier,
+// the caller's own.
 func (e *Engine) newRequest(input Request, route *routeView) *request {
-	created := e.takeSpare()
+	created := e.allocateRequest()
 	e.sequence++
 	*created = request{
 		Request: input, sequence: e.sequence, route: route, revision: e.revision, arrived: e.now,
 		deadline: deadlineOf(e.now, input, route), shards: created.shards[:0],
 	}
 	span := created.deadline.Sub(e.now)
-	created.decideBy = created.deadline.Add(-min(span/decideShare, decideMost))
+	created.decideBy = created.deadline.Add(-min(span/decisionMarginDivisor, maxDecisionMargin))
 	e.requests[input.ID] = created
 	route.service.requests++
 	return created
@@ -155,34 +155,34 @@
 	return deadline
 }
 
-func (e *Engine) takeSpare() *request {
-	if len(e.spare) == 0 {
+func (e *Engine) allocateRequest() *request {
+	if len(e.freeRequests) == 0 {
 		return &request{}
 	}
-	last := len(e.spare) - 1
-	taken := e.spare[last]
-	e.spare = e.spare[:last]
-	return taken
+	last := len(e.freeRequests) - 1
+	reused := e.freeRequests[last]
+	e.freeRequests = e.freeRequests[:last]
+	return reused
 }
 
-// maxSpare bounds the request objects that are kept for use again.
-const maxSpare = 1024
+// maxFreeRequests bounds the request objects that are kept for reuse.
+const maxFreeRequests = 1024
 
-// discard ends the use of a request object.
-func (e *Engine) discard(ended *request) {
+// releaseRequest returns a request object for reuse.
+func (e *Engine) releaseRequest(ended *request) {
 	ended.phase = phaseEnded
 	view := ended.route.service
 	view.requests--
 	e.releaseIfUnused(view)
 	clear(ended.shards)
 	ended.Request = Request{}
-	if len(e.spare) < maxSpare {
-		e.spare = append(e.spare, ended)
+	if len(e.freeRequests) < maxFreeRequests {
+		e.freeRequests = append(e.freeRequests, ended)
 	}
 }
 
-// target fills in the shards that the request needs of a snapshot.
-func (r *request) target(pinned pin) {
+// setTarget sets the snapshot and the shards that the request needs of it.
+func (r *request) setTarget(pinned pin) {
 	r.partition, r.version = pinned.partition, pinned.version
 	clear(r.shards)
 	r.shards = r.shards[:0]
@@ -196,15 +196,15 @@
 	r.open, r.covered = len(r.shards), 0
 }
 
-// repeatable reports whether running the request twice does no harm.
+// repeatable reports whether running the request twice is harmless.
 func (r *request) repeatable() bool { return !r.route.Policy.Once }
 
-// verdictNow folds the outcomes so far; an attempt that is out may have run.
-func (r *request) verdictNow() verdict.Verdict {
+// currentVerdict combines the outcomes so far; an attempt in flight may have run.
+func (r *request) currentVerdict() verdict.Verdict {
 	switch {
 	case r.ran:
 		return verdict.Ran
-	case r.doubtful || r.outstanding > 0:
+	case r.mayHaveRun || r.outstanding > 0:
 		return verdict.MayHaveRun
 	default:
 		return verdict.NotRun
--- a/internal/query/snapshot.go
+++ b/internal/query/snapshot.go
@@ -7,27 +7,26 @@
 	"github.com/martenstage/martenstage/internal/plan"
 )
 
-// ShardOfKey returns the index of the shard that a key belongs to in a
-// generation of a number of shards.
+// ShardOfKey returns the index of the shard that owns a key in a generation with the
+// given number of shards.
 func ShardOfKey(key string, shards int) int {
 	return int(xxhash.Sum64String(key) % uint64(shards))
 }
 
-// pin is the snapshot that a request is answered from.
+// pin is the snapshot that a request reads.
 type pin struct {
 	partition *partition
 	version   uint64
 }
 
-// enoughCapacity is the share of every shard's slots from which a version is as
-// good as one that all slots can serve. The newest version of equally good ones
-// is pinned; without the bound, the first replica to get a version would get
-// the whole load of its shard at once.
+// enoughCapacity is the share of every shard's slots from which a version counts as
+// fully served. The newest of equally good versions is pinned; without the bound, the
+// first replica to load a version would receive the complete load of its shard at
+// once.
 const enoughCapacity = 0.5
 
-// betterPin reports whether a candidate that is older than the best so far is
-// to be preferred: for more shards, or else for the capacity that the newer
-// one lacks.
+// betterPin reports whether an older candidate is preferred to the best so far:
+// because it covers more shards, or else because the newer one lacks capacity.
 func betterPin(coverage, capacity, bestCoverage, bestCapacity float64) bool {
 	if coverage != bestCoverage {
 		return coverage > bestCoverage
@@ -35,11 +34,10 @@
 	return min(capacity, enoughCapacity) > min(bestCapacity, enoughCapacity)
 }
 
-// pinSnapshot picks the shard map and index version for a request: of those
-// that enough shards can serve, the one that most shards can serve, of equals
-// one that enough slots can serve, and of these the newest. Taking the newest
-// as soon as enough shards have it would lose the parts of all others during
-// every roll-out of an index.
+// pinSnapshot picks the shard map and index version for a request: among those with
+// enough shards, the one served by the most shards, then one with enough slots, then
+// the newest. Picking the newest as soon as enough shards have it would lose the
+// parts of all others during every index rollout.
 func (e *Engine) pinSnapshot(route *routeView, key string) (pin, bool) {
 	best, bestCoverage, bestCapacity := pin{}, 0.0, 0.0
 	for index := len(route.service.partitions) - 1; index >= 0; index-- {
@@ -60,8 +58,8 @@
 	return best, best.partition != nil
 }
 
-// pinForKey serves a request for one shard while other shards of the service
-// are lost: it needs no other shard to be answered in full.
+// pinForKey picks a snapshot for a request by key while other shards of the service
+// are unavailable: it needs only its own shard for a complete answer.
 func pinForKey(route *routeView, key string) (pin, bool) {
 	for index := len(route.service.partitions) - 1; index >= 0; index-- {
 		partition := route.service.partitions[index]
@@ -88,14 +86,13 @@
 	return 0
 }
 
-// targetServes reports whether the one shard of a request by key can serve the
-// version; requests to all shards need no particular one.
+// targetServes reports whether the target shard of a request by key can serve the
+// version; it is always true for requests to all shards.
 func (p *partition) targetServes(route *routeView, key string, version uint64) bool {
 	return route.Target != plan.TargetKey || p.Groups[ShardOfKey(key, len(p.Groups))].CanServe(version)
 }
 
-// superseded reports whether a newer version than the request's could be
-// pinned now.
+// superseded reports whether a version newer than the request's could be pinned now.
 func (r *request) superseded() bool {
 	for _, partition := range r.route.service.partitions {
 		for _, candidate := range partition.Candidates() {
--- a/internal/query/table.go
+++ b/internal/query/table.go
@@ -6,15 +6,15 @@
 	"github.com/martenstage/martenstage/internal/balancer"
 )
 
-// slotBits is the part of an AttemptID that is its place in the table; the
-// rest counts the uses of the place.
+// slotBits is the number of bits of an AttemptID that hold its slot in the table; the
+// other bits count the uses of the slot.
 const slotBits = 24
 
 // attempt is one query sent to one back end.
 type attempt struct {
 	id AttemptID
-	// request is nil once nobody waits for the outcome; the attempt still
-	// takes a place at its server until the shell says how it ended.
+	// request is nil once no request waits for the outcome; the attempt still occupies
+	// a slot at its server until the shell reports how it ended.
 	request    *request
 	shard      int
 	version    uint64
@@ -25,40 +25,40 @@
 	canceled   bool
 }
 
-// attemptTable finds attempts by id without a map: the id holds the place.
+// attemptTable finds attempts by id without a map: the id contains the slot.
 type attemptTable struct {
-	places []attempt
-	free   []uint32
+	slots []attempt
+	free  []uint32
 }
 
-// add takes a free place and gives it a new id.
+// add stores an attempt in a free slot and assigns it a new id.
 func (t *attemptTable) add(entry attempt) AttemptID {
 	if len(t.free) == 0 {
-		t.places = append(t.places, attempt{id: AttemptID(len(t.places))})
-		t.free = append(t.free, uint32(len(t.places)-1))
+		t.slots = append(t.slots, attempt{id: AttemptID(len(t.slots))})
+		t.free = append(t.free, uint32(len(t.slots)-1))
 	}
 	last := len(t.free) - 1
-	place := t.free[last]
+	slot := t.free[last]
 	t.free = t.free[:last]
-	// The number of uses is kept in the free place's id and goes up by one, so
-	// that no id comes twice.
-	entry.id = t.places[place].id + 1<<slotBits
-	t.places[place] = entry
+	// The id of a free slot keeps the number of its uses, which is incremented so that
+	// no id is used twice.
+	entry.id = t.slots[slot].id + 1<<slotBits
+	t.slots[slot] = entry
 	return entry.id
 }
 
 // get returns the attempt with the id, or nil if it has ended.
 func (t *attemptTable) get(id AttemptID) *attempt {
-	place := uint64(id) & (1<<slotBits - 1)
-	if place >= uint64(len(t.places)) || t.places[place].id != id || t.places[place].server == nil {
+	slot := uint64(id) & (1<<slotBits - 1)
+	if slot >= uint64(len(t.slots)) || t.slots[slot].id != id || t.slots[slot].server == nil {
 		return nil
 	}
-	return &t.places[place]
+	return &t.slots[slot]
 }
 
-// remove frees the place of an attempt.
+// remove frees the slot of an attempt.
 func (t *attemptTable) remove(id AttemptID) {
-	place := uint64(id) & (1<<slotBits - 1)
-	t.places[place] = attempt{id: id}
-	t.free = append(t.free, uint32(place))
+	slot := uint64(id) & (1<<slotBits - 1)
+	t.slots[slot] = attempt{id: id}
+	t.free = append(t.free, uint32(slot))
 }
--- a/internal/query/timers.go
+++ b/internal/query/timers.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// timer is the next moment at which a request may have something to decide.
-// It is void when the request has ended or has another due time by then.
+// timer is the next time at which a request may have a decision to make. It is void
+// if the request has ended or its due time has changed.
 type timer struct {
 	at       time.Time
 	request  *request
@@ -39,39 +39,39 @@
 	return entry
 }
 
-// schedule makes sure that the request is looked at no later than its next
-// due moment. An earlier timer that stands already will do, so that the shards
-// are searched once per timer and not once per reply.
+// schedule makes sure that the request is processed no later than its next due time.
+// An earlier timer that is already set suffices, so that the shards are searched once
+// per timer and not once per reply.
 func (e *Engine) schedule(r *request) {
 	switch {
 	case r.due.IsZero():
 		r.due = e.nextDue(r)
-	case !r.soonest.IsZero() && r.soonest.Before(r.due):
-		r.due = r.soonest
+	case !r.earliestDue.IsZero() && r.earliestDue.Before(r.due):
+		r.due = r.earliestDue
 	default:
 		return
 	}
-	r.soonest = time.Time{}
+	r.earliestDue = time.Time{}
 	heap.Push(&e.timers, timer{at: r.due, request: r, sequence: r.sequence})
 }
 
-// setDue asks for a look at a shard at a moment; zero for none.
+// setDue sets when a shard is next due; zero for never.
 func (r *request) setDue(shard *shardState, at time.Time) {
 	shard.due = at
-	if !at.IsZero() && (r.soonest.IsZero() || at.Before(r.soonest)) {
-		r.soonest = at
+	if !at.IsZero() && (r.earliestDue.IsZero() || at.Before(r.earliestDue)) {
+		r.earliestDue = at
 	}
 }
 
-// nextDue is the first of the final decision, the policy's next moment and
-// what the open shards wait for.
+// nextDue is the earliest of the final decision, the policy's next elapsed threshold
+// and the due times of the open shards.
 func (e *Engine) nextDue(r *request) time.Time {
 	next := r.decideBy
 	if r.phase != phaseRunning {
 		return next
 	}
-	if r.moment < len(r.route.moments) {
-		next = earlier(next, r.arrived.Add(r.route.moments[r.moment]))
+	if r.nextThreshold < len(r.route.elapsedThresholds) {
+		next = earlier(next, r.arrived.Add(r.route.elapsedThresholds[r.nextThreshold]))
 	}
 	for index := range r.shards {
 		shard := &r.shards[index]
@@ -97,13 +97,13 @@
 			continue
 		}
 		r.due = time.Time{}
-		e.requestDue(r)
+		e.processDueRequest(r)
 	}
 	e.flushEvents()
 }
 
-// requestDue takes every decision of a request whose time has come.
-func (e *Engine) requestDue(r *request) {
+// processDueRequest makes the decisions of a request whose timer has fired.
+func (e *Engine) processDueRequest(r *request) {
 	switch r.phase {
 	case phaseClaiming:
 		if !e.now.Before(r.decideBy) {
@@ -111,8 +111,8 @@
 			return
 		}
 	case phaseRunning:
-		e.shardsDue(r)
-		e.settleEvent(r)
+		e.processDueShards(r)
+		e.advanceRequest(r)
 		return
 	default:
 		return
@@ -120,16 +120,16 @@
 	e.schedule(r)
 }
 
-// armWake asks for the next timer. An earlier call that stands is left alone:
-// a timer that fires for nothing costs less than a command for each change.
-func (e *Engine) armWake() {
+// armTimer requests the next timer. A pending earlier timer is kept: a spurious
+// TimerFired costs less than a command for each change.
+func (e *Engine) armTimer() {
 	next := e.events.nextFlush()
 	if len(e.timers) > 0 && (next.IsZero() || e.timers[0].at.Before(next)) {
 		next = e.timers[0].at
 	}
-	if next.IsZero() || (e.wakeAt.After(e.now) && !next.Before(e.wakeAt)) {
+	if next.IsZero() || (e.timerAt.After(e.now) && !next.Before(e.timerAt)) {
 		return
 	}
-	e.wakeAt = next
+	e.timerAt = next
 	e.emit(Wake{At: next})
 }
--- a/internal/query/view.go
+++ b/internal/query/view.go
@@ -11,23 +11,23 @@
 	"github.com/martenstage/martenstage/internal/plan"
 )
 
-// routeView is a route of the installed configuration with what is worked out
-// from its policy once.
+// routeView is a route of the installed configuration with the values that are
+// precomputed from its policy.
 type routeView struct {
 	plan.Route
 	service *serviceView
-	// moments are the times since admission at which a statement of the policy
-	// may begin to hold, sorted.
-	moments []time.Duration
-	// wanted is the largest coverage that the policy names.
-	wanted float64
-	// spared is the share of the shards that an answer at the first of the
-	// moments may be without.
-	spared float64
+	// elapsedThresholds are the times since admission from which a statement of the
+	// policy may hold, sorted.
+	elapsedThresholds []time.Duration
+	// maxCoverage is the highest coverage that the policy names.
+	maxCoverage float64
+	// omittableShare is the share of the shards that an answer at the first elapsed
+	// threshold may lack.
+	omittableShare float64
 }
 
-// serviceView is one definition of a service. Requests that were admitted
-// under it keep it until they end.
+// serviceView is one version of a service's definition. Requests admitted under it
+// keep it until they end.
 type serviceView struct {
 	definition plan.Service
 	// partitions are the live shard maps, oldest first.
@@ -37,15 +37,16 @@
 	retired    bool
 }
 
-// serviceState is what outlives changes of a service's definition.
+// serviceState holds the state that outlives changes of a service's definition.
 type serviceState struct {
 	hedges  *budget.Bucket
 	retries *budget.Bucket
-	// overloadedUntil keeps extra attempts off after a refusal for load.
+	// overloadedUntil is the time before which extra attempts are disabled after a
+	// refusal for load.
 	overloadedUntil time.Time
 }
 
-// partition is one shard map with the attempts that wait for its replicas.
+// partition is one shard map with the queues of shards that wait for its replicas.
 type partition struct {
 	*balancer.Generation
 	service *serviceView
@@ -54,7 +55,7 @@
 }
 
 func (e *Engine) configInstalled(event ConfigInstalled) {
-	// Revisions only go up: a lower one is an old message.
+	// Revisions only increase: a lower one comes from an outdated message.
 	if e.installed && event.Revision < e.revision {
 		return
 	}
@@ -81,8 +82,8 @@
 	e.warmServices()
 }
 
-// installService returns the view of a definition. An unchanged definition
-// keeps its view, so that most changes of configuration cost nothing here.
+// installService returns the view of a definition. An unchanged definition keeps its
+// view, so that most configuration changes cost nothing here.
 func (e *Engine) installService(definition plan.Service, before *serviceView) *serviceView {
 	if before != nil && reflect.DeepEqual(before.definition, definition) {
 		return before
@@ -124,30 +125,30 @@
 	return installed
 }
 
-// releaseIfUnused marks a view to be dropped once the last request that was
-// admitted under it has ended.
+// releaseIfUnused schedules a view for removal once the last request admitted under
+// it has ended.
 func (e *Engine) releaseIfUnused(view *serviceView) {
 	if view.retired && view.requests == 0 {
-		e.retired = append(e.retired, view)
+		e.retiredServices = append(e.retiredServices, view)
 	}
 }
 
 func newRouteView(route plan.Route, service *serviceView) *routeView {
 	view := &routeView{Route: route, service: service}
 	for index := range route.Policy.Statements {
-		view.scan(&route.Policy.Statements[index].Condition)
+		view.collectThresholds(&route.Policy.Statements[index].Condition)
 	}
-	slices.Sort(view.moments)
-	view.moments = slices.Compact(view.moments)
+	slices.Sort(view.elapsedThresholds)
+	view.elapsedThresholds = slices.Compact(view.elapsedThresholds)
 	for index := range route.Policy.Statements {
-		view.spared = max(view.spared, view.sparedBy(&route.Policy.Statements[index]))
+		view.omittableShare = max(view.omittableShare, view.omittableShareOf(&route.Policy.Statements[index]))
 	}
 	return view
 }
 
-// sparedBy returns the share of the shards that a statement of the form
-// "answer when coverage >= RATIO and elapsed >= the first moment" does without.
-func (r *routeView) sparedBy(statement *plan.Statement) float64 {
+// omittableShareOf returns the share of the shards that a statement of the form
+// "answer when coverage >= RATIO and elapsed >= the first threshold" can omit.
+func (r *routeView) omittableShareOf(statement *plan.Statement) float64 {
 	if statement.Action != plan.ActionAnswer || statement.Condition.Kind != plan.ConditionAll {
 		return 0
 	}
@@ -157,7 +158,7 @@
 		case plan.ConditionCoverage:
 			ratio = max(ratio, operand.Ratio)
 		case plan.ConditionElapsed:
-			first = operand.Duration == r.moments[0]
+			first = operand.Duration == r.elapsedThresholds[0]
 		}
 	}
 	if !first || ratio == 0 {
@@ -166,16 +167,17 @@
 	return 1 - ratio
 }
 
-// scan collects the moments and coverages that a condition names.
-func (r *routeView) scan(condition *plan.Condition) {
+// collectThresholds collects the elapsed times and the highest coverage that a
+// condition names.
+func (r *routeView) collectThresholds(condition *plan.Condition) {
 	switch condition.Kind {
 	case plan.ConditionElapsed:
-		r.moments = append(r.moments, condition.Duration)
+		r.elapsedThresholds = append(r.elapsedThresholds, condition.Duration)
 	case plan.ConditionCoverage:
-		r.wanted = max(r.wanted, condition.Ratio)
+		r.maxCoverage = max(r.maxCoverage, condition.Ratio)
 	}
 	for index := range condition.Operands {
-		r.scan(&condition.Operands[index])
+		r.collectThresholds(&condition.Operands[index])
 	}
 }
 
