--- a/internal/router/admissions_test.go
+++ b/internal/router/admissions_test.go
@@ -27,7 +27,7 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// twoRevisions installs revision 1, and 2 when it is told to.
+// twoRevisions installs revision 1, and revision 2 once next is closed.
 type twoRevisions struct {
 	plan          *plan.Plan
 	next, changed chan struct{}
@@ -48,7 +48,7 @@
 func (*twoRevisions) Leave(context.Context) error                { return nil }
 func (*twoRevisions) Describe() string                           { return "test" }
 
-// staleEngine keeps the first configuration for ever.
+// staleEngine never replaces its first configuration.
 type staleEngine struct{ router.Engine }
 
 func (e staleEngine) Step(now time.Time, event query.Event) []query.Command {
@@ -58,32 +58,32 @@
 	return e.Engine.Step(now, event)
 }
 
-// oneBackend starts a back end and returns the plan of a route to it.
-func oneBackend(t *testing.T, logger *logrus.Logger) *plan.Plan {
-	whole := costPlan(nil, plan.Merge{Kind: plan.MergeConcat})
-	whole.Services[0].Generations[0].Shards = []plan.Shard{{Name: "all", Replicas: []plan.Replica{
+// startBackend starts a back end and returns a plan with a route to it.
+func startBackend(t *testing.T, logger *logrus.Logger) *plan.Plan {
+	configured := costPlan(nil, plan.Merge{Kind: plan.MergeConcat})
+	configured.Services[0].Generations[0].Shards = []plan.Shard{{Name: "all", Replicas: []plan.Replica{
 		{Address: netip.MustParseAddrPort("127.0.0.1:0"), Zone: "a", Slots: 4, Connections: 4}}}}
-	fleet, err := emulator.New(emulator.Config{Plans: []*plan.Plan{whole}, QueuePerSlot: 64, FirstVersion: 1, MaxBody: 1 << 20,
+	fleet, err := emulator.New(emulator.Config{Plans: []*plan.Plan{configured}, QueuePerSlot: 64, FirstVersion: 1, MaxBody: 1 << 20,
 		Model: servicetime.Model{Default: servicetime.Distribution{Median: time.Millisecond}}},
 		emulator.Dependencies{Logger: logger})
 	require.NoError(t, err)
 	require.NoError(t, fleet.Start())
 	t.Cleanup(fleet.Close)
-	return fleet.BoundPlan(whole)
+	return fleet.BoundPlan(configured)
 }
 
-// runAdmissions runs a router that takes its configuration from a source and records its
-// admissions, and returns what asks it.
-func runAdmissions(
+// startRecordingRouter starts a router with a configuration source that records its
+// admissions, and returns a function that sends it a query.
+func startRecordingRouter(
 	t *testing.T, logger *logrus.Logger, source router.ConfigSource, admitted *admissionrecord.Summary, wrap func(router.Engine) router.Engine,
-) (ask func() query.Answer) {
+) (sendQuery func() query.Answer) {
 	served, running := runRouter(t, logger, source, admitted, wrap)
 	return func() query.Answer {
 		return served.Query(running, router.Request{CallerID: "r", Route: "find", Body: []byte(`{}`)})
 	}
 }
 
-// runRouter runs a router until the test ends, and returns the context that it runs in.
+// runRouter runs a router until the test ends and returns it with its context.
 func runRouter(
 	t *testing.T, logger *logrus.Logger, source router.ConfigSource, admitted *admissionrecord.Summary, wrap func(router.Engine) router.Engine,
 ) (*router.Router, context.Context) {
@@ -104,34 +104,34 @@
 	return served, running
 }
 
-func silentLogger() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	return logger
 }
 
-// judgeTwoRevisions runs a router through a change and returns what the judge
-// says of the admissions that it recorded.
+// judgeTwoRevisions runs a router through a configuration change and returns the
+// judge's result for the recorded admissions.
 func judgeTwoRevisions(t *testing.T, wrap func(router.Engine) router.Engine) judge.Result {
 	t.Helper()
-	logger := silentLogger()
-	source := &twoRevisions{plan: oneBackend(t, logger), next: make(chan struct{}), changed: make(chan struct{})}
+	logger := discardLogger()
+	source := &twoRevisions{plan: startBackend(t, logger), next: make(chan struct{}), changed: make(chan struct{})}
 	admitted := admissionrecord.NewSummary("router-1")
-	ask := runAdmissions(t, logger, source, admitted, wrap)
-	require.Eventually(t, func() bool { return ask().Complete }, 20*time.Second, time.Millisecond)
+	sendQuery := startRecordingRouter(t, logger, source, admitted, wrap)
+	require.Eventually(t, func() bool { return sendQuery().Complete }, 20*time.Second, time.Millisecond)
 	close(source.next)
 	<-source.changed
 	inForce := time.Now()
-	time.Sleep(2 * judge.DefaultClockSkew) // an earlier admission may be that much late
-	require.True(t, ask().Complete)
+	time.Sleep(2 * judge.DefaultClockSkew) // an earlier admission may be recorded that much later
+	require.True(t, sendQuery().Complete)
 	judged := judge.New(judge.Config{})
 	judged.AddOperatorAnswer(records.OperatorAnswer{ChangeID: "second", Accepted: true, Revision: 2, Received: inForce, InForce: inForce})
 	lo.ForEach(admitted.Take(), func(admission records.Admission, _ int) { judged.AddAdmission(admission) })
 	return judged.Result()
 }
 
-// What a router records of its admissions shows the judge an engine that admits
-// under a revision that is said to be replaced everywhere.
+// Guards against an engine that admits under a replaced revision without being
+// noticed: the judge must detect it from the router's admission records.
 func TestStaleAdmissionsAreCaught(t *testing.T) {
 	sound := judgeTwoRevisions(t, func(sound router.Engine) router.Engine { return sound })
 	require.Empty(t, sound.Violations)
@@ -140,83 +140,83 @@
 	require.Equal(t, map[judge.Invariant]int{judge.AcceptedInForce: 1}, broken.ByInvariant)
 }
 
-// leased installs a plan under a lease that ends.
-type leased struct {
+// leasedSource installs a plan under a lease that ends.
+type leasedSource struct {
 	plan  *plan.Plan
 	lease time.Duration
 }
 
 // Run implements router.ConfigSource.
-func (s *leased) Run(ctx context.Context, sink router.ConfigSink) error {
+func (s *leasedSource) Run(ctx context.Context, sink router.ConfigSink) error {
 	sink.InstallPlan(1, s.plan)
 	sink.ExtendLease(steadyclock.Now().Add(s.lease))
 	<-ctx.Done()
 	return nil
 }
 
-func (*leased) Observe(netip.AddrPort, query.MachineState) {}
-func (*leased) Leave(context.Context) error                { return nil }
-func (*leased) Describe() string                           { return "test" }
+func (*leasedSource) Observe(netip.AddrPort, query.MachineState) {}
+func (*leasedSource) Leave(context.Context) error                { return nil }
+func (*leasedSource) Describe() string                           { return "test" }
 
-// TestLeaseEndsWhileTheMachineIsSuspended suspends a router's machine for longer than its
-// lease, while the clock that stands still then says that it is good: nothing is admitted.
+// Guards against admissions under a lease that expired while the machine was
+// suspended. The monotonic clock stands still then and would show the lease as valid.
 func TestLeaseEndsWhileTheMachineIsSuspended(t *testing.T) {
 	machine := suspension.NewMachine(t)
-	logger := silentLogger()
-	source := &leased{plan: oneBackend(t, logger), lease: time.Hour}
-	ask := runAdmissions(t, logger, source, admissionrecord.NewSummary("router-1"), func(engine router.Engine) router.Engine { return engine })
-	require.Eventually(t, func() bool { return ask().Complete }, 20*time.Second, time.Millisecond)
+	logger := discardLogger()
+	source := &leasedSource{plan: startBackend(t, logger), lease: time.Hour}
+	sendQuery := startRecordingRouter(t, logger, source, admissionrecord.NewSummary("router-1"), func(engine router.Engine) router.Engine { return engine })
+	require.Eventually(t, func() bool { return sendQuery().Complete }, 20*time.Second, time.Millisecond)
 	machine.Suspend(2 * time.Hour)
-	answer := ask()
+	answer := sendQuery()
 	require.NotNil(t, answer.Err)
 	require.Equal(t, verdict.ReasonNoLease, answer.Err.Reason)
 	require.Equal(t, verdict.NotRun, answer.Err.Verdict)
 }
 
-// TestAdmissionsAreRecordedByTheWallClock guards against records whose times are off by how long the
-// machine was suspended, which are compared with those of other machines.
+// Guards against admission records whose times are off by the time that the machine
+// was suspended: they are compared with records of other machines.
 func TestAdmissionsAreRecordedByTheWallClock(t *testing.T) {
 	machine := suspension.NewMachine(t)
-	logger := silentLogger()
-	source := &leased{plan: oneBackend(t, logger), lease: 4 * time.Hour}
+	logger := discardLogger()
+	source := &leasedSource{plan: startBackend(t, logger), lease: 4 * time.Hour}
 	admitted := admissionrecord.NewSummary("router-1")
-	ask := runAdmissions(t, logger, source, admitted, func(engine router.Engine) router.Engine { return engine })
+	sendQuery := startRecordingRouter(t, logger, source, admitted, func(engine router.Engine) router.Engine { return engine })
 	machine.Suspend(2 * time.Hour)
-	require.Eventually(t, func() bool { return ask().Complete }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return sendQuery().Complete }, 20*time.Second, time.Millisecond)
 	for _, recorded := range admitted.Take() {
 		require.True(t, recorded.Until.Before(time.Now().Add(time.Hour)), "recorded at %v", recorded.Until)
 	}
 }
 
-// slowToLease takes a lease in only once it is let.
-type slowToLease struct {
+// delayedLeaseEngine processes a lease only once release is closed.
+type delayedLeaseEngine struct {
 	router.Engine
-	asked chan<- struct{}
-	let   <-chan struct{}
+	received chan<- struct{}
+	release  <-chan struct{}
 }
 
-func (e slowToLease) Step(now time.Time, event query.Event) []query.Command {
+func (e delayedLeaseEngine) Step(now time.Time, event query.Event) []query.Command {
 	if _, ok := event.(query.LeaseRenewed); ok {
-		e.asked <- struct{}{}
-		<-e.let
+		e.received <- struct{}{}
+		<-e.release
 	}
 	return e.Engine.Step(now, event)
 }
 
-// TestReadyOnlyOnceEnginesHoldTheLease delays the engine that is told of the first lease:
-// the router is not ready meanwhile, since the engine would refuse what came.
+// Guards against a router that reports ready before its engines have the lease and
+// would refuse requests. The engine's processing of the first lease is delayed.
 func TestReadyOnlyOnceEnginesHoldTheLease(t *testing.T) {
-	logger := silentLogger()
-	source := &leased{plan: oneBackend(t, logger), lease: time.Hour}
-	asked, let := make(chan struct{}, 1024), make(chan struct{})
-	letAll := sync.OnceFunc(func() { close(let) })
+	logger := discardLogger()
+	source := &leasedSource{plan: startBackend(t, logger), lease: time.Hour}
+	received, release := make(chan struct{}, 1024), make(chan struct{})
+	releaseAll := sync.OnceFunc(func() { close(release) })
 	served, running := runRouter(t, logger, source, admissionrecord.NewSummary("router-1"), func(engine router.Engine) router.Engine {
-		return slowToLease{Engine: engine, asked: asked, let: let}
+		return delayedLeaseEngine{Engine: engine, received: received, release: release}
 	})
-	t.Cleanup(letAll)
-	<-asked
+	t.Cleanup(releaseAll)
+	<-received
 	require.Never(t, func() bool { ready, _ := served.Ready(); return ready }, 300*time.Millisecond, time.Millisecond)
-	letAll()
+	releaseAll()
 	require.Eventually(t, func() bool { ready, _ := served.Ready(); return ready }, 10*time.Second, time.Millisecond)
 	require.Nil(t, served.Query(running, router.Request{CallerID: "r", Route: "find", Body: []byte(`{}`)}).Err)
 }
--- a/internal/router/cells.go
+++ b/internal/router/cells.go
@@ -14,63 +14,63 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// Forwarder hands a request to another router and returns its answer.
+// Forwarder sends a request to another router and returns its answer.
 type Forwarder interface {
 	Forward(ctx context.Context, peer Peer, request Request) query.Answer
 }
 
-// maxForwards bounds the routers that one request is offered to.
+// maxForwards bounds the number of routers that one request is sent to.
 const maxForwards = 3
 
-// foreignCells maps a service whose cell this router is not of to the peers of
-// that cell, those of the own zone first.
-type foreignCells map[string][]Peer
+// peersByService maps each service whose cell does not include this router to the
+// peers of that cell, those in the own zone first.
+type peersByService map[string][]Peer
 
-// refreshCells computes the foreign cells anew after the plan or the live
-// routers changed. It is called from the configuration source's goroutine.
-func (r *Router) refreshCells(installed *plan.Plan) {
+// updatePeerCells recomputes the peer cells after the plan or the live routers
+// changed. It is called from the configuration source's goroutine.
+func (r *Router) updatePeerCells(installed *plan.Plan) {
 	peers := r.peers.Load()
 	if peers == nil || r.config.Alone {
 		return
 	}
 	byName := lo.KeyBy(*peers, func(peer Peer) string { return peer.Name })
-	foreign := foreignCells{}
+	byService := peersByService{}
 	for _, service := range installed.Services {
 		members := r.cells.Members(service.Name, service.CellRouters)
 		if slices.Contains(members, r.config.Name) {
 			continue
 		}
 		for _, member := range members {
-			foreign[service.Name] = append(foreign[service.Name], byName[member])
+			byService[service.Name] = append(byService[service.Name], byName[member])
 		}
-		slices.SortStableFunc(foreign[service.Name], func(left, right Peer) int {
-			return r.distance(left) - r.distance(right)
+		slices.SortStableFunc(byService[service.Name], func(left, right Peer) int {
+			return r.zoneDistance(left) - r.zoneDistance(right)
 		})
 	}
-	r.foreign.Store(&foreign)
+	r.peerCells.Store(&byService)
 }
 
-func (r *Router) distance(peer Peer) int {
+func (r *Router) zoneDistance(peer Peer) int {
 	if peer.Zone == r.config.Zone {
 		return 0
 	}
 	return 1
 }
 
-// cellOf returns the peers to ask for a service; none means that this router
-// asks the back ends itself.
-func (r *Router) cellOf(service string) []Peer {
-	foreign := r.foreign.Load()
-	if foreign == nil {
+// cellPeers returns the peers that serve a service; none means that this router
+// queries the back ends itself.
+func (r *Router) cellPeers(service string) []Peer {
+	byService := r.peerCells.Load()
+	if byService == nil {
 		return nil
 	}
-	return (*foreign)[service]
+	return (*byService)[service]
 }
 
-// forward offers a request to routers of its cell until one answers it.
+// forward sends a request to routers of its cell in turn until one answers it.
 func (r *Router) forward(ctx context.Context, peers []Peer, route *plan.Route, request Request) query.Answer {
 	if !r.leaseValid() {
-		return r.refusal(verdict.ReasonNoLease, "the configuration lease has run out")
+		return r.refusal(verdict.ReasonNoLease, "the configuration lease has expired")
 	}
 	request.Deadline = boundedDeadline(route.Policy.Deadline, request.Deadline, steadyclock.Now())
 	bounded, cancel := steadyclock.WithDeadline(ctx, request.Deadline.Add(forwardGrace))
@@ -78,20 +78,20 @@
 	answer := r.refusal(verdict.ReasonNoReplica, "no router of the service's cell is known")
 	ran := verdict.NotRun
 	first := int(xxhash.Sum64String(request.CallerID) % uint64(len(peers)))
-	for offered := range min(len(peers), maxForwards) {
-		peer := peers[(first+offered)%len(peers)]
+	for tried := range min(len(peers), maxForwards) {
+		peer := peers[(first+tried)%len(peers)]
 		answer = r.forwarder.Forward(bounded, peer, request)
 		r.metrics.forwards.WithLabelValues(route.Service, answer.Verdict.String()).Inc()
 		ran = verdict.Combine(ran, answer.Verdict)
-		if bounded.Err() != nil || !mayOfferAgain(answer, route.Policy.Once) {
+		if bounded.Err() != nil || !mayTryNextRouter(answer, route.Policy.Once) {
 			break
 		}
 	}
 	return withVerdict(answer, ran)
 }
 
-// withVerdict gives a failure the verdict of all that was tried: that the last
-// router ran nothing says nothing of those before it.
+// withVerdict gives a failure the combined verdict of all routers tried: that the
+// last one ran nothing says nothing about those before it.
 func withVerdict(answer query.Answer, ran verdict.Verdict) query.Answer {
 	if answer.Err == nil || answer.Verdict == ran {
 		return answer
@@ -102,22 +102,22 @@
 	return answer
 }
 
-// forwardGrace is how long after the deadline a peer's last word is awaited.
+// forwardGrace is how long after the deadline to wait for a peer's answer.
 const forwardGrace = 50 * time.Millisecond
 
-// boundedDeadline is the deadline that a caller asked for, or the route's if
-// that is earlier.
-func boundedDeadline(allowed time.Duration, asked, now time.Time) time.Time {
+// boundedDeadline is the deadline that a caller requested, or the route's if that is
+// earlier.
+func boundedDeadline(allowed time.Duration, requested, now time.Time) time.Time {
 	longest := now.Add(allowed)
-	if asked.IsZero() || asked.After(longest) {
+	if requested.IsZero() || requested.After(longest) {
 		return longest
 	}
-	return asked
+	return requested
 }
 
-// mayOfferAgain reports whether another router may do better. A request that
-// must run at most once is offered again only when it provably was not run.
-func mayOfferAgain(answer query.Answer, once bool) bool {
+// mayTryNextRouter reports whether another router may be able to answer. A request
+// that must run at most once is sent again only when it provably was not run.
+func mayTryNextRouter(answer query.Answer, once bool) bool {
 	if answer.Err == nil || (once && answer.Verdict != verdict.NotRun) {
 		return false
 	}
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -13,7 +13,7 @@
 	"github.com/martenstage/martenstage/internal/remote"
 )
 
-// Config sets the size and pace of a Router.
+// Config holds the limits, intervals and timeouts of a Router.
 type Config struct {
 	// Name identifies the router among its peers.
 	Name string
@@ -21,20 +21,20 @@
 	Zone string
 	// Boot changes at every start of the process.
 	Boot uint64
-	// Engines is the number of query engines; each owns whole services.
+	// Engines is the number of query engines; each owns complete services.
 	Engines int
-	// AdmissionRing bounds the requests that wait for an engine; a full ring
-	// refuses.
+	// AdmissionRing bounds the requests that wait for an engine; when the ring is
+	// full, requests are refused.
 	AdmissionRing int
-	// MaxRequests bounds the requests under way in one engine.
+	// MaxRequests bounds the requests in flight in one engine.
 	MaxRequests int
-	// MaxAttempts bounds the attempts in flight of one engine.
+	// MaxAttempts bounds the attempts in flight in one engine.
 	MaxAttempts int
-	// ProbeInterval is the least pause between two probes of one back end, that
-	// of one in doubt.
+	// ProbeInterval is the minimum pause between two probes of one back end, used
+	// while that back end is suspect.
 	ProbeInterval time.Duration
-	// ProbeIdlePause, ProbeHeardPause and ProbeDownPause are the longest pauses
-	// for a back end that is idle, whose replies come, and that is down; see
+	// ProbeIdlePause, ProbeHeardPause and ProbeDownPause are the maximum pauses for a
+	// back end that is idle, that is replying to queries, and that is down; see
 	// package probing.
 	ProbeIdlePause  time.Duration
 	ProbeHeardPause time.Duration
@@ -43,17 +43,17 @@
 	ProbeTimeout time.Duration
 	// CancelTimeout bounds the sending of one cancellation.
 	CancelTimeout time.Duration
-	// RefusalPause is what refused callers are told to wait.
-	RefusalPause time.Duration
-	// Alone says that no other router connects to the back ends, so that this
-	// one takes the whole of their limits.
+	// RefusalRetryAfter is the RetryAfter hint of refusals.
+	RefusalRetryAfter time.Duration
+	// Alone means that no other router connects to the back ends, so that this one
+	// uses their complete limits.
 	Alone bool
-	// ShareDelay is how long after a change of the list of live routers a
-	// bigger share of connections is taken; see package cell. It must be longer
-	// than a lease and the time after it for which connections are kept, a
-	// quarter of this delay.
+	// ShareDelay is how long after a change of the list of live routers a bigger share
+	// of connections takes effect; see package cell. It must be longer than a lease
+	// plus the time for which connections are kept after the lease, a quarter of this
+	// delay.
 	ShareDelay time.Duration
-	// Regions bounds what another region may take of this router.
+	// Regions limits the requests to each other region.
 	Regions remote.Config
 	// ReachTimeout bounds one probe of another region's entry router.
 	ReachTimeout time.Duration
@@ -61,19 +61,19 @@
 
 // Defaults of Config.
 const (
-	DefaultEngines       = 4
-	DefaultAdmissionRing = 1024
-	DefaultMaxRequests   = 4096
-	DefaultMaxAttempts   = 16384
-	DefaultProbeInterval = probing.DefaultInterval
-	DefaultProbeTimeout  = time.Second
-	DefaultCancelTimeout = time.Second
-	DefaultRefusalPause  = 250 * time.Millisecond
-	DefaultShareDelay    = 15 * time.Second
-	DefaultReachTimeout  = time.Second
+	DefaultEngines            = 4
+	DefaultAdmissionRing      = 1024
+	DefaultMaxRequests        = 4096
+	DefaultMaxAttempts        = 16384
+	DefaultProbeInterval      = probing.DefaultInterval
+	DefaultProbeTimeout       = time.Second
+	DefaultCancelTimeout      = time.Second
+	DefaultRefusalRetryAfter  = 250 * time.Millisecond
+	DefaultShareDelay         = 15 * time.Second
+	DefaultRegionProbeTimeout = time.Second
 )
 
-// withDefaults fills zero values.
+// withDefaults replaces zero values by the defaults.
 func (c Config) withDefaults() Config {
 	c.Engines = cmp.Or(c.Engines, DefaultEngines)
 	c.AdmissionRing = cmp.Or(c.AdmissionRing, DefaultAdmissionRing)
@@ -82,8 +82,8 @@
 	c.ProbeInterval = cmp.Or(c.ProbeInterval, DefaultProbeInterval)
 	c.ProbeTimeout = cmp.Or(c.ProbeTimeout, DefaultProbeTimeout)
 	c.CancelTimeout = cmp.Or(c.CancelTimeout, DefaultCancelTimeout)
-	c.RefusalPause = cmp.Or(c.RefusalPause, DefaultRefusalPause)
-	c.ReachTimeout = cmp.Or(c.ReachTimeout, DefaultReachTimeout)
+	c.RefusalRetryAfter = cmp.Or(c.RefusalRetryAfter, DefaultRefusalRetryAfter)
+	c.ReachTimeout = cmp.Or(c.ReachTimeout, DefaultRegionProbeTimeout)
 	c.ShareDelay = cmp.Or(c.ShareDelay, DefaultShareDelay)
 	return c
 }
@@ -98,7 +98,8 @@
 	}
 }
 
-// Engine is the decision core that an engine loop drives; query.Engine is one.
+// Engine makes the decisions that an engine loop executes; query.Engine implements
+// it.
 type Engine interface {
 	Step(now time.Time, event query.Event) []query.Command
 }
@@ -112,11 +113,11 @@
 	Claims   ClaimRegistry
 	Events   EventSink
 	Source   ConfigSource
-	// Forwarder may be nil when Config.Alone is set.
+	// Forwarder may be nil for a standalone router.
 	Forwarder Forwarder
-	// Regions carries requests to other regions; nil when Config.Alone is set.
+	// Regions carries requests to other regions; nil for a standalone router.
 	Regions RegionCaller
-	// Admissions may be nil: nothing is recorded then.
+	// Admissions may be nil: admissions are not recorded then.
 	Admissions AdmissionLog
 	// NewEngine creates the engine with an index in [0, Config.Engines).
 	NewEngine func(index int) Engine
--- a/internal/router/cost_test.go
+++ b/internal/router/cost_test.go
@@ -32,8 +32,8 @@
 	"github.com/martenstage/martenstage/internal/router"
 )
 
-// The benchmarks measure the processor time of this process alone, so the back
-// ends run in a child process: this test binary, started with costServers set.
+// The benchmarks measure the processor time of this process only, so the back ends
+// run in a child process: this test binary, started with costServers set.
 const (
 	costServers = "MARTENSTAGE_COST_SERVERS"
 	costShards  = 16
@@ -41,7 +41,7 @@
 	costBody    = `{"q":"desk","near":[13.7563,100.5018],"limit":10}`
 )
 
-// costPart is a reply of eight items of some 60 bytes.
+// costPart is a reply of eight items of about 60 bytes each.
 var costPart = func() []byte {
 	part := backendapi.Part{}
 	for index := range 8 {
@@ -60,8 +60,8 @@
 	os.Exit(m.Run())
 }
 
-// serveCost runs back ends that answer at once, prints their addresses and
-// ends with its standard input.
+// serveCost runs back ends that reply at once, prints their addresses and returns
+// when its standard input ends.
 func serveCost(count int) {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -105,7 +105,8 @@
 	})
 }
 
-// startCostServers starts the child with a number of servers and returns its addresses.
+// startCostServers starts the child process with the given number of servers and
+// returns their addresses.
 func startCostServers(b *testing.B, count int) []netip.AddrPort {
 	b.Helper()
 	command := exec.Command(os.Args[0])
@@ -127,7 +128,7 @@
 	return addresses
 }
 
-// measure runs rounds from many callers, each of a number of attempts, and
+// measure runs rounds of the given number of attempts from concurrent callers and
 // reports processor time, allocations and bytes per attempt.
 func measure(b *testing.B, attempts int, round func(number int64)) {
 	b.Helper()
@@ -166,8 +167,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkAttempt compares what an attempt costs in a bare loop of the HTTP
-// client, in the back-end client, and in the whole router with its engine.
+// BenchmarkAttempt compares the cost of an attempt in a plain loop of the HTTP
+// client, in the back-end client, and in the complete router with its engine.
 func BenchmarkAttempt(b *testing.B) {
 	addresses := startCostServers(b, costShards)
 	b.Run("bare-http1", func(b *testing.B) { benchmarkBare(b, addresses, bareVariant{batch: 1}) })
@@ -180,15 +181,14 @@
 	})
 }
 
-// bareVariant is a way of sending queries with net/http alone.
+// bareVariant is a method of sending queries with net/http alone.
 type bareVariant struct {
 	http2 bool
 	// batch is the number of queries that share one exchange.
 	batch int
 }
 
-// benchmarkBare sends the same queries with net/http alone and reads the
-// replies.
+// benchmarkBare sends the queries with net/http alone and reads the replies.
 func benchmarkBare(b *testing.B, addresses []netip.AddrPort, variant bareVariant) {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(!variant.http2)
@@ -248,7 +248,7 @@
 	})
 }
 
-// costPlan has one shard with one replica per address.
+// costPlan returns a plan with one shard of one replica per address.
 func costPlan(addresses []netip.AddrPort, merge plan.Merge) *plan.Plan {
 	generation := plan.Generation{Number: 1}
 	for index, address := range addresses {
@@ -286,13 +286,13 @@
 		end()
 		<-ended
 	})
-	ask := func(number int64) query.Answer {
+	sendQuery := func(number int64) query.Answer {
 		return served.Query(context.Background(), router.Request{
 			CallerID: strconv.FormatInt(number, 10), Route: "find", Body: []byte(costBody)})
 	}
-	require.Eventually(b, func() bool { return ask(0).Complete }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(b, func() bool { return sendQuery(0).Complete }, 10*time.Second, 10*time.Millisecond)
 	measure(b, costShards, func(number int64) {
-		if answer := ask(number); !answer.Complete {
+		if answer := sendQuery(number); !answer.Complete {
 			panic(fmt.Sprintf("%+v", answer))
 		}
 	})
--- a/internal/router/engine_loop.go
+++ b/internal/router/engine_loop.go
@@ -13,27 +13,28 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// admission is a request on its way into an engine, with the channel that its
-// one answer goes to.
+// admission is a request that waits for an engine, with the channel for its only
+// answer.
 type admission struct {
 	request query.Request
 	reply   chan<- query.Answer
 }
 
-// notice is an event from control, the prober or the process itself. Done,
-// when not nil, is closed once the engine has taken it in.
+// notice is an event from control, the prober or the process itself. Done, if not
+// nil, is closed once the engine has processed the event.
 type notice struct {
 	event query.Event
 	done  chan<- struct{}
 }
 
-// pushPause is how long a producer that may not drop waits for room in a ring.
-const pushPause = time.Millisecond
+// pushRetryInterval is the interval at which a producer that must not drop its event
+// retries to push it into a full ring.
+const pushRetryInterval = time.Millisecond
 
-// engineLoop is the one goroutine that owns an engine. Three bounded rings
-// lead to it: admissions (full: the request is refused), notices (full: the
-// producer waits; probes are dropped) and outcomes (sized for everything that
-// may be under way; full: the sender waits).
+// engineLoop is the goroutine that owns an engine. Three bounded rings feed it:
+// admissions (full: the request is refused), notices (full: the producer waits;
+// probes are dropped) and outcomes (sized for everything that may be in flight; full:
+// the sender waits).
 type engineLoop struct {
 	index  int
 	router *Router
@@ -45,64 +46,65 @@
 	outcomes   *ring.Ring[query.Event]
 	timer      *time.Timer
 
-	// The rest belongs to the goroutine alone.
-	waiting  map[query.RequestID]waiter
-	attempts map[query.AttemptID]flight
-	// admitting is the request that the engine decides about, 0 for none.
+	// The fields from here to immediate are used by the goroutine alone.
+	pending  map[query.RequestID]pendingRequest
+	attempts map[query.AttemptID]inFlightAttempt
+	// admitting is the request whose admission the engine is deciding, 0 for none.
 	admitting query.RequestID
-	// immediate holds outcomes decided without leaving the goroutine.
+	// immediate holds outcomes that the goroutine itself decided.
 	immediate []query.Event
 
 	stopped chan struct{}
 	stop    sync.Once
-	ended   chan struct{}
+	exited  chan struct{}
 }
 
-// waiter is a request under way: where its answer goes, and since when by the wall clock.
-type waiter struct {
+// pendingRequest is a request in flight: the channel for its answer, and its arrival
+// by the wall clock.
+type pendingRequest struct {
 	reply   chan<- query.Answer
 	arrived time.Time
 }
 
-// flight is an attempt that a sender carries.
-type flight struct {
+// inFlightAttempt is an attempt that a sender is executing.
+type inFlightAttempt struct {
 	cancel   context.CancelFunc
 	callerID string
 }
 
 func newEngineLoop(index int, router *Router, engine Engine, sender *backend.Sender) *engineLoop {
 	config := router.config
-	const requestEvents = 2 // CallerGone and ClaimDecided
+	const requestEvents = 2 // one if the caller disconnects, one for the claim decision
 	return &engineLoop{
 		index:      index,
 		router:     router,
 		engine:     engine,
 		sender:     sender,
 		admissions: ring.New[admission](config.AdmissionRing),
-		notices:    ring.New[notice](noticeRing),
+		notices:    ring.New[notice](noticeCapacity),
 		outcomes:   ring.New[query.Event](config.MaxAttempts + requestEvents*config.MaxRequests),
 		timer:      time.NewTimer(time.Hour),
-		waiting:    make(map[query.RequestID]waiter),
-		attempts:   make(map[query.AttemptID]flight),
+		pending:    make(map[query.RequestID]pendingRequest),
+		attempts:   make(map[query.AttemptID]inFlightAttempt),
 		stopped:    make(chan struct{}),
-		ended:      make(chan struct{}),
+		exited:     make(chan struct{}),
 	}
 }
 
-// noticeRing bounds the notices that wait for one engine.
-const noticeRing = 1024
+// noticeCapacity bounds the queued notices of one engine.
+const noticeCapacity = 1024
 
 // run steps the engine until the context ends.
 func (l *engineLoop) run(ctx context.Context) {
-	defer close(l.ended)
+	defer close(l.exited)
 	for {
 		select {
 		case outcome := <-l.outcomes.Items():
 			l.step(ctx, outcome)
-		case taken := <-l.notices.Items():
-			l.step(ctx, taken.event)
-			if taken.done != nil {
-				close(taken.done)
+		case received := <-l.notices.Items():
+			l.step(ctx, received.event)
+			if received.done != nil {
+				close(received.done)
 			}
 		case arrived := <-l.admissions.Items():
 			l.admit(ctx, arrived)
@@ -114,22 +116,22 @@
 	}
 }
 
-// admit hands a request to the engine, unless too many are under way.
+// admit passes a request to the engine, unless too many are in flight.
 func (l *engineLoop) admit(ctx context.Context, arrived admission) {
-	if len(l.waiting) >= l.router.config.MaxRequests {
-		arrived.reply <- l.router.refusal(verdict.ReasonOverloaded, "too many requests under way")
+	if len(l.pending) >= l.router.config.MaxRequests {
+		arrived.reply <- l.router.refusal(verdict.ReasonOverloaded, "too many requests in flight")
 		return
 	}
-	now := time.Now() // The wall clock: records are compared with those of other machines.
-	l.waiting[arrived.request.ID] = waiter{reply: arrived.reply, arrived: now}
+	now := time.Now() // Wall clock: records are compared with those of other machines.
+	l.pending[arrived.request.ID] = pendingRequest{reply: arrived.reply, arrived: now}
 	l.admitting = arrived.request.ID
 	l.step(ctx, query.RequestArrived{Request: arrived.request})
 	l.admitting = 0
 }
 
-// step feeds one event to the engine and carries out what it commands.
+// step passes one event to the engine and executes the resulting commands.
 func (l *engineLoop) step(ctx context.Context, event query.Event) {
-	l.finishFlight(event)
+	l.finishAttempt(event)
 	for {
 		for _, command := range l.engine.Step(steadyclock.Now(), event) {
 			l.execute(ctx, command)
@@ -142,8 +144,8 @@
 	}
 }
 
-// finishFlight forgets an attempt whose outcome has come.
-func (l *engineLoop) finishFlight(event query.Event) {
+// finishAttempt removes an attempt whose outcome has arrived.
+func (l *engineLoop) finishAttempt(event query.Event) {
 	var attempt query.AttemptID
 	switch outcome := event.(type) {
 	case query.PartArrived:
@@ -168,13 +170,13 @@
 	case query.Claim:
 		l.claim(ctx, typed)
 	case query.SettleClaim:
-		l.settle(typed)
+		l.settleClaim(typed)
 	case query.Respond:
 		l.respond(typed)
 	case query.Wake:
-		l.wake(typed.At)
+		l.setTimer(typed.At)
 	case query.Warm:
-		l.router.warmer.want(typed)
+		l.router.warmer.enqueue(typed)
 	case query.Observed:
 		l.router.source.Observe(typed.Address, typed.State)
 	case query.Record:
@@ -194,24 +196,24 @@
 		return
 	}
 	attemptContext, cancel := context.WithTimeout(ctx, attempt.Timeout)
-	l.attempts[attempt.Attempt] = flight{cancel: cancel, callerID: attempt.CallerID}
+	l.attempts[attempt.Attempt] = inFlightAttempt{cancel: cancel, callerID: attempt.CallerID}
 	go func() {
 		sent := steadyclock.Now()
 		outcome := l.sender.Send(attemptContext, attempt)
-		l.router.prober.heard(attempt.Address, outcome, sent)
+		l.router.prober.attemptFinished(attempt.Address, outcome, sent)
 		l.pushOutcome(outcome)
 	}()
 }
 
-// cancel gives an attempt up: its connection is closed, and the back end is
-// told in case it does not notice that.
+// cancel aborts an attempt: its connection is closed, and the back end is sent a
+// cancellation in case it does not notice that.
 func (l *engineLoop) cancel(command query.Cancel) {
 	canceled, ok := l.attempts[command.Attempt]
 	if !ok {
 		return
 	}
 	canceled.cancel()
-	l.router.canceler.want(cancellation{
+	l.router.canceler.enqueue(cancellation{
 		sender: l.sender, address: command.Address, request: canceled.callerID, attempt: command.Attempt,
 	})
 }
@@ -230,9 +232,9 @@
 	}()
 }
 
-// settle records a claim's outcome. It outlives the engine, since a planned
-// stop must not lose what is known.
-func (l *engineLoop) settle(command query.SettleClaim) {
+// settleClaim records a claim's outcome. It may outlive the engine, since a planned
+// stop must not lose a known outcome.
+func (l *engineLoop) settleClaim(command query.SettleClaim) {
 	if command.Outcome == verdict.MayHaveRun {
 		return
 	}
@@ -240,8 +242,8 @@
 		settleContext, cancel := context.WithTimeout(context.Background(), settleTimeout)
 		defer cancel()
 		if err := l.router.claims.Settle(settleContext, command.CallerID, command.Outcome); err != nil {
-			// The claim then stays as it is, which refuses a resend with
-			// may_have_run: less is known, but nothing false is said.
+			// The claim then keeps its state, which refuses a resend with may_have_run:
+			// less precise, but not false.
 			l.router.logger.WithError(err).Warn("claim not settled")
 		}
 	})
@@ -251,26 +253,26 @@
 const settleTimeout = 5 * time.Second
 
 func (l *engineLoop) respond(command query.Respond) {
-	asked, ok := l.waiting[command.Request]
+	entry, ok := l.pending[command.Request]
 	if !ok {
 		return
 	}
-	delete(l.waiting, command.Request)
-	l.recordAdmission(command, asked.arrived)
-	asked.reply <- command.Answer
+	delete(l.pending, command.Request)
+	l.recordAdmission(command, entry.arrived)
+	entry.reply <- command.Answer
 }
 
-// recordAdmission notes under which revision the engine admitted a request, by
-// its own word, unless it refused it on arrival.
+// recordAdmission records the revision under which the engine reports that it
+// admitted a request, unless the engine refused the request on arrival.
 func (l *engineLoop) recordAdmission(command query.Respond, arrived time.Time) {
 	answer := command.Answer
 	refused := command.Request == l.admitting && answer.Err != nil && answer.Verdict == verdict.NotRun
-	if l.router.admitted != nil && !refused {
-		l.router.admitted.Admitted(arrived, answer.ConfigRevision)
+	if l.router.admissionLog != nil && !refused {
+		l.router.admissionLog.Admitted(arrived, answer.ConfigRevision)
 	}
 }
 
-func (l *engineLoop) wake(at time.Time) {
+func (l *engineLoop) setTimer(at time.Time) {
 	if at.IsZero() {
 		l.timer.Stop()
 		return
@@ -278,51 +280,53 @@
 	l.timer.Reset(steadyclock.Until(at))
 }
 
-// pushOutcome hands an outcome to the engine; it must not be lost.
+// pushOutcome passes an outcome to the engine, waiting for capacity, since outcomes
+// must not be lost.
 func (l *engineLoop) pushOutcome(event query.Event) {
 	for !l.outcomes.TryPush(event) {
-		if !l.pause() {
+		if !l.waitForCapacity() {
 			return
 		}
 	}
 }
 
-// pushNotice hands a notice to the engine, waiting for room.
+// pushNotice passes a notice to the engine, waiting for capacity.
 func (l *engineLoop) pushNotice(event query.Event, done chan<- struct{}) {
 	for !l.notices.TryPush(notice{event: event, done: done}) {
-		if !l.pause() {
+		if !l.waitForCapacity() {
 			return
 		}
 	}
 }
 
-// deliver hands a notice to the engine and returns once it was taken in.
-func (l *engineLoop) deliver(event query.Event) {
+// pushNoticeAndWait passes a notice to the engine and returns once it was processed.
+func (l *engineLoop) pushNoticeAndWait(event query.Event) {
 	done := make(chan struct{})
 	l.pushNotice(event, done)
 	select {
 	case <-done:
-	case <-l.ended:
+	case <-l.exited:
 	}
 }
 
-// pause waits a moment for room and reports whether the loop still runs.
-func (l *engineLoop) pause() bool {
+// waitForCapacity waits before a push is retried and reports whether the loop still
+// runs.
+func (l *engineLoop) waitForCapacity() bool {
 	select {
-	case <-time.After(pushPause):
+	case <-time.After(pushRetryInterval):
 		return true
-	case <-l.ended:
+	case <-l.exited:
 		return false
 	}
 }
 
-// pushHealth hands over a probe's outcome; without room it is dropped, and the
-// probe is to be made again.
+// pushHealth passes on a probe's outcome. If the ring is full, the outcome is
+// dropped, and the caller has to repeat the probe.
 func (l *engineLoop) pushHealth(observed query.HealthObserved) bool {
 	return l.notices.TryPush(notice{event: observed})
 }
 
-// cancellation is one attempt that a back end is told to give up.
+// cancellation identifies one attempt that a back end is requested to cancel.
 type cancellation struct {
 	sender  *backend.Sender
 	address netip.AddrPort
--- a/internal/router/event_log.go
+++ b/internal/router/event_log.go
@@ -9,8 +9,8 @@
 	"github.com/martenstage/martenstage/internal/logging"
 )
 
-// EventLog is an EventSink that writes every event to the log only, for a
-// router without control.
+// EventLog is an EventSink that only writes events to the log, for a router without
+// control.
 type EventLog struct{ Logger logrus.FieldLogger }
 
 // Record implements EventSink.
--- a/internal/router/installation.go
+++ b/internal/router/installation.go
@@ -13,13 +13,13 @@
 	"github.com/martenstage/martenstage/internal/query"
 )
 
-// installation is the configuration in force with what the shell derives from
-// it. It is replaced whole.
+// installation is the active configuration with the state that the router derives
+// from it. It is always replaced as a whole.
 type installation struct {
 	revision uint64
 	plan     *plan.Plan
-	// own is the part of the plan that this router serves itself, by the cells
-	// of its services.
+	// own is the part of the plan that this router serves itself, according to the
+	// cells of its services.
 	own *plan.Plan
 	// owners maps a route to the engine of its service.
 	owners map[string]*engineLoop
@@ -32,33 +32,33 @@
 	if current := r.installed.Load(); current != nil && revision <= current.revision {
 		return
 	}
-	r.put(&installation{revision: revision, plan: installed, own: r.ownPart(installed)})
+	r.replaceInstallation(&installation{revision: revision, plan: installed, own: r.ownedPlan(installed)})
 	r.logger.WithField("revision", revision).WithField("services", len(installed.Services)).
 		WithField("routes", len(installed.Routes)).Info("configuration installed")
 }
 
-// ownPart returns the part of a plan that this router serves itself. Engines,
-// shares and probes know no other back ends, so that what a router holds and
-// does grows with its cells and not with the fleet. Before the first list of
-// live routers there are no cells, and the router serves nothing itself: it
-// would else connect to the whole fleet for a moment at every start.
-func (r *Router) ownPart(whole *plan.Plan) *plan.Plan {
+// ownedPlan returns the part of a plan that this router serves itself. Engines,
+// shares and probes get no other back ends, so that a router's cost grows with its
+// cells and not with the fleet. Before the first list of live routers there are no
+// cells, and the router serves nothing itself: otherwise it would briefly connect to
+// the complete fleet at every start.
+func (r *Router) ownedPlan(full *plan.Plan) *plan.Plan {
 	switch {
 	case r.config.Alone:
-		return whole
+		return full
 	case r.peers.Load() == nil:
 		return &plan.Plan{}
 	default:
-		return r.cells.Own(whole, r.config.Name)
+		return r.cells.Own(full, r.config.Name)
 	}
 }
 
 // cellsKnown reports whether the router knows which services it serves.
-func (r *Router) cellsKnown() bool { return r.config.Alone || r.foreign.Load() != nil }
+func (r *Router) cellsKnown() bool { return r.config.Alone || r.peerCells.Load() != nil }
 
-// put replaces what is installed. It is called from the configuration source's
-// goroutine.
-func (r *Router) put(next *installation) {
+// replaceInstallation replaces the installed configuration. It is called from the
+// configuration source's goroutine.
+func (r *Router) replaceInstallation(next *installation) {
 	next.owners = make(map[string]*engineLoop)
 	for _, route := range next.plan.Routes {
 		next.owners[route.Name] = r.ownerOf(route.Service)
@@ -69,33 +69,32 @@
 	}
 	r.regions.install(next.plan.Regions)
 	r.shares.installPlan(next, r.cells)
-	// The engines come first: a request that sees the new owners must find
-	// them ready.
-	told := r.tellEngines(func(loop *engineLoop) query.Event {
-		return query.ConfigInstalled{Revision: next.revision, Plan: r.partOf(next.own, loop)}
+	// The engines come first: a request that sees the new owners must find them ready.
+	notified := r.notifyEngines(func(loop *engineLoop) query.Event {
+		return query.ConfigInstalled{Revision: next.revision, Plan: r.planForEngine(next.own, loop)}
 	})
-	if !told {
+	if !notified {
 		return
 	}
-	// Before the cells and the routes are there, so that readiness waits for the
-	// probes.
-	r.prober.retarget(r.runContext, r.probeTargets(next.own))
-	r.refreshCells(next.plan)
+	// The probe targets are set before the cells and the routes, so that readiness
+	// waits for the probes.
+	r.prober.setTargets(r.runContext, r.probeTargets(next.own))
+	r.updatePeerCells(next.plan)
 	r.installed.Store(next)
 	r.metrics.revision.Set(float64(next.revision))
 }
 
-// moveCells takes in that the live routers changed under a plan.
-func (r *Router) moveCells(current *installation) {
-	own := r.ownPart(current.plan)
+// updateOwnCells applies a change of the live routers to the installed plan.
+func (r *Router) updateOwnCells(current *installation) {
+	own := r.ownedPlan(current.plan)
 	if sameServices(own, current.own) {
 		r.shares.installPlan(current, r.cells)
-		r.refreshCells(current.plan)
-		// The routers that share the back ends may be more or fewer now.
-		r.prober.retarget(r.runContext, r.probeTargets(current.own))
+		r.updatePeerCells(current.plan)
+		// The number of routers that share the back ends may have changed.
+		r.prober.setTargets(r.runContext, r.probeTargets(current.own))
 		return
 	}
-	r.put(&installation{revision: current.revision, plan: current.plan, own: own})
+	r.replaceInstallation(&installation{revision: current.revision, plan: current.plan, own: own})
 	r.logger.WithField("services", len(own.Services)).Info("own cells changed")
 }
 
@@ -106,19 +105,19 @@
 	})
 }
 
-// ownerOf returns the engine that owns a service. It depends on the name
-// alone, so a service never changes engines while requests are under way.
+// ownerOf returns the engine that owns a service. It depends on the name alone, so a
+// service never changes engines while requests are in flight.
 func (r *Router) ownerOf(service string) *engineLoop {
 	return r.loops[xxhash.Sum64String(service)%uint64(len(r.loops))]
 }
 
-// partOf returns the services and routes of a plan that an engine owns.
-func (r *Router) partOf(whole *plan.Plan, owner *engineLoop) *plan.Plan {
+// planForEngine returns the services and routes of a plan that an engine owns.
+func (r *Router) planForEngine(full *plan.Plan, owner *engineLoop) *plan.Plan {
 	return &plan.Plan{
-		Services: lo.Filter(whole.Services, func(service plan.Service, _ int) bool {
+		Services: lo.Filter(full.Services, func(service plan.Service, _ int) bool {
 			return r.ownerOf(service.Name) == owner
 		}),
-		Routes: lo.Filter(whole.Routes, func(route plan.Route, _ int) bool {
+		Routes: lo.Filter(full.Routes, func(route plan.Route, _ int) bool {
 			return r.ownerOf(route.Service) == owner
 		}),
 	}
@@ -168,28 +167,29 @@
 		return
 	}
 	r.leaseUntil.Store(&until)
-	// Connections come before the requests that the lease admits.
+	// Connections must be available before the lease admits requests.
 	if r.leaseValid() {
 		r.shares.setLease(true)
 	}
-	// Readiness waits for the engines: a router that said it was ready before would refuse its
-	// first requests for want of a lease.
-	if r.tellEngines(func(*engineLoop) query.Event { return query.LeaseRenewed{Until: until} }) {
-		r.leaseTold.Store(&until)
+	// Readiness waits for the engines: a router that reported ready earlier would
+	// refuse its first requests for lack of a lease.
+	if r.notifyEngines(func(*engineLoop) query.Event { return query.LeaseRenewed{Until: until} }) {
+		r.engineLeaseUntil.Store(&until)
 	}
 }
 
-// tellEngines returns once every engine has taken its event in. It reports false if one ended.
-func (r *Router) tellEngines(eventFor func(*engineLoop) query.Event) bool {
-	taken := make([]chan struct{}, len(r.loops))
+// notifyEngines returns once every engine has processed its event. It reports false
+// if one exited.
+func (r *Router) notifyEngines(eventFor func(*engineLoop) query.Event) bool {
+	processed := make([]chan struct{}, len(r.loops))
 	for index, loop := range r.loops {
-		taken[index] = make(chan struct{})
-		loop.pushNotice(eventFor(loop), taken[index])
+		processed[index] = make(chan struct{})
+		loop.pushNotice(eventFor(loop), processed[index])
 	}
 	for index, loop := range r.loops {
 		select {
-		case <-taken[index]:
-		case <-loop.ended:
+		case <-processed[index]:
+		case <-loop.exited:
 			return false
 		}
 	}
@@ -199,7 +199,7 @@
 // ObserveMachines implements ConfigSink.
 func (r *Router) ObserveMachines(observed []query.MachineObserved) {
 	for _, machine := range observed {
-		r.prober.watch(machine.Address)
+		r.prober.machineReported(machine.Address)
 		for _, loop := range r.loops {
 			loop.pushNotice(machine, nil)
 		}
@@ -212,7 +212,7 @@
 	names := lo.Map(routers, func(peer Peer, _ int) string { return peer.Name })
 	r.cells = cell.NewCells(lo.Uniq(append(names, r.config.Name)))
 	if current := r.installed.Load(); current != nil {
-		r.moveCells(current)
+		r.updateOwnCells(current)
 	}
 	r.logger.WithField("routers", len(routers)).Info("live routers changed")
 }
--- a/internal/router/local_claims.go
+++ b/internal/router/local_claims.go
@@ -10,9 +10,9 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// LocalClaims is a ClaimRegistry in memory, for a single router without
-// control. It forgets everything at a restart, so "at most once" holds only
-// within one run of one router.
+// LocalClaims is a ClaimRegistry in memory, for a single router without control. Its
+// claims are lost at a restart, so "at most once" holds only within one run of one
+// router.
 type LocalClaims struct {
 	mutex  sync.Mutex
 	claims map[string]localClaim
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/martenstage/martenstage/internal/query"
 )
 
-// Kinds of attempts, for the metric.
+// Kinds of attempts, as metric label values.
 const (
 	kindFirst = "first"
 	kindHedge = "hedge"
--- a/internal/router/options.go
+++ b/internal/router/options.go
@@ -55,7 +55,7 @@
 	StopLimit      time.Duration `long:"stop-limit" koanf:"stop-limit" default:"120s" validate:"min=1s" description:"Longest planned stop; requests still in flight are then cut off and the exit code is 1"`
 }
 
-// Check refuses settings that don't go together.
+// Check rejects conflicting or incomplete settings.
 func (o *Options) Check() error {
 	switch {
 	case o.PolicyFile == "" && len(o.Upstream) == 0:
@@ -67,7 +67,7 @@
 	}
 }
 
-// Voters are the servers that decide claims and store events.
+// Voters returns the servers that decide claims and store events.
 func (o *Options) Voters() []string {
 	if len(o.Control) > 0 {
 		return o.Control
@@ -116,9 +116,10 @@
 	}
 }
 
-// healthLifetime is the longest pause after an observation and the time of one
-// probe that gets no answer, and at least that of two such probes in doubt, after
-// which a back end counts as unreachable in any case.
+// healthLifetime is how long an observation of a back end stays valid before the back
+// end counts as unreachable in any case: the longest pause after an observation plus
+// the timeout of one probe, and at least two probes of a suspect back end that time
+// out.
 func (o *Options) healthLifetime() time.Duration {
 	const probes = 2
 	idle := probing.Longest(max(o.ProbeIdle, o.ProbeInterval))
--- a/internal/router/probe_cost_test.go
+++ b/internal/router/probe_cost_test.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	// probeServers and probeRouters are those of a cell at the target size.
+	// probeServers and probeRouters are the size of a cell at the target scale.
 	probeServers = 850
 	probeRouters = 64
 	// probeQueries is the pause between two queries to all servers.
 	probeQueries = 500 * time.Millisecond
-	// probeSettle is how long a router runs before it is measured, which is when
-	// the pauses of servers that are down have grown to their most.
+	// probeSettle is how long a router runs before the measurement, until the pauses
+	// of servers that are down have grown to their maximum.
 	probeSettle = 17 * time.Second
 	probeTime   = 8 * time.Second
 )
 
-// cellSource says once that the router is one of a cell of probeRouters.
+// cellSource reports once that the router is one of a cell of probeRouters.
 type cellSource struct{ plan *plan.Plan }
 
 // Run implements router.ConfigSource.
@@ -48,9 +48,8 @@
 func (cellSource) Leave(context.Context) error                { return nil }
 func (cellSource) Describe() string                           { return "test" }
 
-// BenchmarkProbes measures the probes and the processor time of one router of a
-// cell: without any, with all at the interval, and with those that a schedule
-// asks for.
+// BenchmarkProbes measures the probes and the processor time of one router of a cell:
+// without probes, with all probes at the interval, and with the probes of a schedule.
 func BenchmarkProbes(b *testing.B) {
 	serving := startCostServers(b, probeServers)
 	refusing := lo.Times(probeServers, func(index int) netip.AddrPort {
@@ -85,14 +84,14 @@
 	config.Name, config.Zone, config.Boot = "router-0", "a", 1
 	served := router.New(config, router.Dependencies{
 		Logger: logger, Registerer: registry, Backends: client, Claims: router.NewLocalClaims(),
-		Events: router.EventLog{Logger: logger}, Source: cellSource{installed}, Forwarder: refuser{},
+		Events: router.EventLog{Logger: logger}, Source: cellSource{installed}, Forwarder: refusingForwarder{},
 		NewEngine: func(int) router.Engine { return query.New(query.Config{Zone: "a"}) },
 	})
 	running, end := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- served.Run(running) }()
 	if queries > 0 {
-		go askAtPace(running, served, queries)
+		go sendAtInterval(running, served, queries)
 	}
 	b.Cleanup(func() {
 		end()
@@ -107,11 +106,11 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// askAtPace sends queries to all servers until the context ends.
-func askAtPace(ctx context.Context, served *router.Router, pace time.Duration) {
+// sendAtInterval sends queries to all servers until the context ends.
+func sendAtInterval(ctx context.Context, served *router.Router, interval time.Duration) {
 	for number := 0; ctx.Err() == nil; number++ {
 		served.Query(ctx, router.Request{CallerID: fmt.Sprint("query-", number), Route: "find", Body: []byte(costBody)})
-		time.Sleep(pace)
+		time.Sleep(interval)
 	}
 }
 
--- a/internal/router/prober.go
+++ b/internal/router/prober.go
@@ -20,13 +20,13 @@
 type probeTarget struct {
 	address netip.AddrPort
 	loops   []*engineLoop
-	// routers is how many routers use it, this one included.
+	// routers is the number of routers that use it, including this one.
 	routers int
 }
 
-// prober asks back ends for their health when their schedules say so, and keeps
-// their connection pools filled. Each back end has a goroutine of its own, so
-// that a hung one delays no other.
+// prober probes the health of back ends according to their schedules and keeps their
+// connection pools filled. Each back end has its own goroutine, so that a hung one
+// delays no other.
 type prober struct {
 	name     string
 	pauses   probing.Config
@@ -43,18 +43,18 @@
 	lookup atomic.Pointer[map[netip.AddrPort]*probeLoop]
 }
 
-// probeLoop is the probing of one back end.
+// probeLoop probes one back end.
 type probeLoop struct {
 	cancel context.CancelFunc
 	target atomic.Pointer[probeTarget]
-	// known is set once the engines have taken in a first outcome.
+	// known is set once the engines have received a first outcome.
 	known atomic.Bool
-	// hurry wakes the goroutine after the next turn moved forward.
-	hurry chan struct{}
+	// rescheduled notifies the goroutine that its next due time has moved forward.
+	rescheduled chan struct{}
 
 	mutex    sync.Mutex
 	schedule *probing.Schedule
-	// refillAt is when lost connections are to be opened anew; zero for never.
+	// refillAt is when lost connections are to be reopened; zero for never.
 	refillAt time.Time
 }
 
@@ -70,9 +70,9 @@
 	}
 }
 
-// retarget replaces the set of probed back ends. Connections to those that
-// left the configuration are closed.
-func (p *prober) retarget(ctx context.Context, targets map[netip.AddrPort]probeTarget) {
+// setTargets replaces the set of probed back ends. Connections to those that were
+// removed from the configuration are closed.
+func (p *prober) setTargets(ctx context.Context, targets map[netip.AddrPort]probeTarget) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
@@ -87,7 +87,7 @@
 	}
 	for address, target := range targets {
 		if running, ok := p.running[address]; ok {
-			running.aim(target)
+			running.setTarget(target)
 			continue
 		}
 		p.start(ctx, target)
@@ -95,7 +95,7 @@
 	p.publish()
 }
 
-// publish lets senders see the present set. The caller holds the mutex.
+// publish makes the current set visible to senders. The caller holds the mutex.
 func (p *prober) publish() {
 	copied := make(map[netip.AddrPort]*probeLoop, len(p.running))
 	for address, running := range p.running {
@@ -108,10 +108,10 @@
 	loopContext, cancel := context.WithCancel(ctx)
 	seed := xxhash.Sum64String(p.name + " " + target.address.String())
 	started := &probeLoop{
-		cancel: cancel, hurry: make(chan struct{}, 1),
+		cancel: cancel, rescheduled: make(chan struct{}, 1),
 		schedule: probing.New(p.pauses, steadyclock.Now(), seed),
 	}
-	started.aim(target)
+	started.setTarget(target)
 	p.running[target.address] = started
 	p.done.Go(func() { p.run(loopContext, started) })
 }
@@ -122,7 +122,7 @@
 	defer timer.Stop()
 	for {
 		now := steadyclock.Now()
-		due, refill := loop.turn()
+		due, refill := loop.nextDue()
 		switch {
 		case !now.Before(due):
 			p.probe(ctx, loop)
@@ -133,10 +133,10 @@
 			if !refill.IsZero() && refill.Before(due) {
 				next = refill
 			}
-			timer.Reset(p.inStep(next).Sub(now))
+			timer.Reset(p.align(next).Sub(now))
 			select {
 			case <-timer.C:
-			case <-loop.hurry:
+			case <-loop.rescheduled:
 			case <-ctx.Done():
 			}
 		}
@@ -146,30 +146,31 @@
 	}
 }
 
-// step is the time within which probes of different back ends are made together,
-// because waking up the process for each costs more than the probe.
-const step = 20 * time.Millisecond
+// probeAlignment is the period to which the probes of different back ends are
+// aligned, because a separate wakeup of the process for each costs more than the
+// probe.
+const probeAlignment = 20 * time.Millisecond
 
-// inStep returns the end of the step that a moment falls into. Short intervals
-// are kept as they are.
-func (p *prober) inStep(moment time.Time) time.Time {
-	const stepsInInterval = 10
-	if p.pauses.Interval < stepsInInterval*step {
-		return moment
+// align returns the end of the alignment period that contains a time. Times are not
+// aligned if the probe interval is short.
+func (p *prober) align(due time.Time) time.Time {
+	const minPeriodsPerInterval = 10
+	if p.pauses.Interval < minPeriodsPerInterval*probeAlignment {
+		return due
 	}
-	elapsed := moment.Sub(p.started)
-	return p.started.Add((elapsed + step - 1) / step * step)
+	elapsed := due.Sub(p.started)
+	return p.started.Add((elapsed + probeAlignment - 1) / probeAlignment * probeAlignment)
 }
 
 func (p *prober) probe(ctx context.Context, loop *probeLoop) {
 	target := *loop.target.Load()
 	bounded, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
-	observed, asked := p.backends.Probe(bounded, target.address)
+	observed, probed := p.backends.Probe(bounded, target.address)
 	if ctx.Err() != nil {
 		return
 	}
-	if !asked {
+	if !probed {
 		loop.skipped()
 		return
 	}
@@ -177,7 +178,7 @@
 	loop.probed(observed)
 	for _, engine := range target.loops {
 		if !loop.known.Load() {
-			engine.deliver(observed)
+			engine.pushNoticeAndWait(observed)
 		} else if !engine.pushHealth(observed) {
 			loop.skipped()
 		}
@@ -188,7 +189,7 @@
 	}
 }
 
-// refill opens connections in place of those that attempts have cost.
+// refill reopens connections that failed attempts have closed.
 func (p *prober) refill(ctx context.Context, loop *probeLoop) {
 	bounded, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
@@ -196,8 +197,8 @@
 	loop.refilled()
 }
 
-// loopOf returns the probing of a back end, or nil.
-func (p *prober) loopOf(address netip.AddrPort) *probeLoop {
+// loopFor returns the probe loop of a back end, or nil.
+func (p *prober) loopFor(address netip.AddrPort) *probeLoop {
 	published := p.lookup.Load()
 	if published == nil {
 		return nil
@@ -205,27 +206,28 @@
 	return (*published)[address]
 }
 
-// heard takes in the end of an attempt that was sent at a time.
-func (p *prober) heard(address netip.AddrPort, outcome query.Event, sent time.Time) {
-	if loop := p.loopOf(address); loop != nil {
-		loop.heard(outcome, sent, steadyclock.Now(), p.pauses.Interval)
+// attemptFinished updates the schedule of a back end after an attempt sent at the
+// given time.
+func (p *prober) attemptFinished(address netip.AddrPort, outcome query.Event, sent time.Time) {
+	if loop := p.loopFor(address); loop != nil {
+		loop.attemptFinished(outcome, sent, steadyclock.Now(), p.pauses.Interval)
 	}
 }
 
-// watch takes in that the word of others about a back end changed.
-func (p *prober) watch(address netip.AddrPort) {
-	if loop := p.loopOf(address); loop != nil {
-		loop.change(func() { loop.schedule.Watch(steadyclock.Now()) })
+// machineReported updates the schedule of a back end whose state as reported by
+// others changed.
+func (p *prober) machineReported(address netip.AddrPort) {
+	if loop := p.loopFor(address); loop != nil {
+		loop.updateSchedule(func() { loop.schedule.Watch(steadyclock.Now()) })
 	}
 }
 
-// allKnown reports whether every back end that matters has answered a probe,
-// or failed to.
-func (p *prober) allKnown(matters func(netip.AddrPort) bool) bool {
+// allKnown reports whether every relevant back end has answered a probe or failed to.
+func (p *prober) allKnown(relevant func(netip.AddrPort) bool) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for address, running := range p.running {
-		if !running.known.Load() && matters(address) {
+		if !running.known.Load() && relevant(address) {
 			return false
 		}
 	}
@@ -243,16 +245,15 @@
 	p.done.Wait()
 }
 
-func (l *probeLoop) aim(target probeTarget) {
+func (l *probeLoop) setTarget(target probeTarget) {
 	l.target.Store(&target)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.schedule.SetRouters(target.routers)
 }
 
-// turn returns when the next probe is due and when connections are to be
-// opened.
-func (l *probeLoop) turn() (due, refill time.Time) {
+// nextDue returns when the next probe is due and when connections are to be reopened.
+func (l *probeLoop) nextDue() (due, refill time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.schedule.Due(), l.refillAt
@@ -265,8 +266,8 @@
 	l.refillAt = time.Time{}
 }
 
-// skipped takes in that a probe could not be made, or that an engine did not
-// learn its outcome.
+// skipped reschedules a probe that could not be made or whose outcome did not reach
+// an engine.
 func (l *probeLoop) skipped() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -279,10 +280,11 @@
 	l.refillAt = time.Time{}
 }
 
-// heard takes in the end of an attempt. One without a reply has cost its
-// connection, which is opened anew a pause later, for all that ended meanwhile.
-func (l *probeLoop) heard(outcome query.Event, sent, now time.Time, pause time.Duration) {
-	l.change(func() {
+// attemptFinished updates the schedule after an attempt. An attempt without a reply
+// has lost its connection; all connections lost within a pause are reopened together
+// after it.
+func (l *probeLoop) attemptFinished(outcome query.Event, sent, now time.Time, pause time.Duration) {
+	l.updateSchedule(func() {
 		l.schedule.Heard(probing.ReplyOf(outcome, sent, now))
 		failed, isFailure := outcome.(query.AttemptFailed)
 		if isFailure && failed.Verdict != verdict.NotRun && l.refillAt.IsZero() {
@@ -291,8 +293,9 @@
 	})
 }
 
-// change applies a change and wakes the goroutine if its next turn came closer.
-func (l *probeLoop) change(apply func()) {
+// updateSchedule applies a change and notifies the goroutine if it is due earlier
+// than before.
+func (l *probeLoop) updateSchedule(apply func()) {
 	l.mutex.Lock()
 	due, refill := l.schedule.Due(), l.refillAt
 	apply()
@@ -300,7 +303,7 @@
 	l.mutex.Unlock()
 	if sooner {
 		select {
-		case l.hurry <- struct{}{}:
+		case l.rescheduled <- struct{}{}:
 		default:
 		}
 	}
--- a/internal/router/region_probes.go
+++ b/internal/router/region_probes.go
@@ -10,8 +10,8 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// run probes entry routers that fail, until the context ends. No caller's
-// request is spent on finding out whether a region is back.
+// run probes failing entry routers until the context ends, so that no caller's
+// request is used to find out whether a region is reachable again.
 func (s *regions) run(ctx context.Context) {
 	if s.caller == nil {
 		return
@@ -24,17 +24,17 @@
 		timer.Reset(s.untilNextProbe())
 		select {
 		case <-timer.C:
-		case <-s.wake:
+		case <-s.probesChanged:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// wakeProber makes the prober look again. It does not block.
-func (s *regions) wakeProber() {
+// notifyProber makes the prober recompute when probes are due. It does not block.
+func (s *regions) notifyProber() {
 	select {
-	case s.wake <- struct{}{}:
+	case s.probesChanged <- struct{}{}:
 	default:
 	}
 }
@@ -63,10 +63,10 @@
 	if region, found := s.known[name]; found {
 		s.report(name, region.Probed(steadyclock.Now(), entry, err == nil))
 	}
-	s.wakeProber()
+	s.notifyProber()
 }
 
-// untilNextProbe is how long the prober may sleep unless it is woken.
+// untilNextProbe is how long the prober may wait unless it is notified.
 func (s *regions) untilNextProbe() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -79,7 +79,7 @@
 	return max(wait, 0)
 }
 
-// regionMetrics count what becomes of requests for other regions.
+// regionMetrics counts the outcomes of requests to other regions.
 type regionMetrics struct {
 	requests  *prometheus.CounterVec
 	inFlight  *prometheus.GaugeVec
@@ -103,7 +103,7 @@
 	return created
 }
 
-// forget drops the gauges of a region that left the configuration.
+// forget drops the gauges of a region that was removed from the configuration.
 func (m *regionMetrics) forget(region string) {
 	m.inFlight.DeleteLabelValues(region)
 	m.reachable.DeleteLabelValues(region)
--- a/internal/router/regions.go
+++ b/internal/router/regions.go
@@ -20,22 +20,22 @@
 // RegionCaller carries requests and probes to the entry routers of other
 // regions.
 type RegionCaller interface {
-	// Cross hands a request to an entry router. The context's deadline bounds
-	// it; the connection is given up well before.
+	// Cross sends a request to an entry router. The context's deadline bounds the
+	// call; connecting is given up well before.
 	Cross(ctx context.Context, entry netip.AddrPort, request Request) Crossing
-	// Reach returns nil if the entry router takes requests. Nothing is run.
+	// Reach returns nil if the entry router accepts requests. It runs nothing.
 	Reach(ctx context.Context, entry netip.AddrPort) error
 }
 
-// Crossing is what became of a request that an entry router was asked.
+// Crossing is the outcome of a request that was sent to an entry router.
 type Crossing struct {
 	Answer  query.Answer
 	Outcome remote.Outcome
 }
 
-// regions sends requests for remote routes to the regions that own them. The
-// judgement is that of package remote; this adds the lock, the calls and the
-// probes.
+// regions sends requests for remote routes to the regions that own them. Package
+// remote decides which entry routers to use; this type adds the lock, the calls and
+// the probes.
 type regions struct {
 	router  *Router
 	caller  RegionCaller
@@ -44,21 +44,21 @@
 	mutex  sync.Mutex
 	known  map[string]*remote.Region
 	probes sync.WaitGroup
-	// wake is filled when a probe may be due earlier than was known.
-	wake chan struct{}
+	// probesChanged is signaled when a probe may be due earlier than known.
+	probesChanged chan struct{}
 }
 
 func newRegions(router *Router, dependencies Dependencies) *regions {
 	created := &regions{
 		router: router, caller: dependencies.Regions,
-		known: map[string]*remote.Region{}, wake: make(chan struct{}, 1),
+		known: map[string]*remote.Region{}, probesChanged: make(chan struct{}, 1),
 	}
 	created.metrics = newRegionMetrics(dependencies.Registerer)
 	return created
 }
 
-// install takes in the regions of a configuration. What is known of entry
-// routers that stay is kept.
+// install applies the regions of a configuration. The state of entry routers that
+// remain is kept.
 func (s *regions) install(declared []plan.Region) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -74,17 +74,17 @@
 		next[region.Name] = remote.New(config, region.Entries)
 		s.metrics.reachable.WithLabelValues(region.Name).Set(1)
 	}
-	for name, gone := range s.known {
+	for name, removed := range s.known {
 		if next[name] != nil {
 			continue
 		}
-		if !gone.Reachable() {
-			s.report(name, remote.BecameReachable) // nothing fails any more
+		if !removed.Reachable() {
+			s.report(name, remote.BecameReachable) // its failures no longer matter
 		}
 		s.metrics.forget(name)
 	}
 	s.known = next
-	s.wakeProber()
+	s.notifyProber()
 }
 
 // query answers a request for a route that another region owns.
@@ -98,100 +98,102 @@
 	return answer
 }
 
-// admit refuses what this router may not or can not hand over.
+// admit sends a request to the route's region, or refuses it if this router may not
+// or can not do so.
 func (s *regions) admit(ctx context.Context, route *plan.RemoteRoute, request Request) query.Answer {
 	now := steadyclock.Now()
 	switch {
 	case s.router.refusing.Load():
-		return s.router.refusal(verdict.ReasonStopping, "the router is being stopped")
+		return s.router.refusal(verdict.ReasonStopping, "the router is stopping")
 	case !s.router.leaseValidAt(now):
-		return s.router.refusal(verdict.ReasonNoLease, "the configuration lease has run out")
+		return s.router.refusal(verdict.ReasonNoLease, "the configuration lease has expired")
 	case !request.Deadline.IsZero() && !now.Before(request.Deadline):
 		return s.router.refusalWithoutRetry(verdict.ReasonDeadlinePassed, "the deadline has passed")
 	case s.caller == nil:
-		return s.router.refusalWithoutRetry(verdict.ReasonRegionUnreachable, "a router without control reaches no other region")
+		return s.router.refusalWithoutRetry(verdict.ReasonRegionUnreachable, "a router without control can't reach other regions")
 	}
-	way, refused := s.begin(route)
-	if way == nil {
+	outgoing, refused := s.begin(route)
+	if outgoing == nil {
 		return refused
 	}
-	defer way.end()
+	defer outgoing.end()
 	request.Deadline = boundedDeadline(route.Deadline, request.Deadline, now)
 	bounded, cancel := steadyclock.WithDeadline(ctx, request.Deadline.Add(forwardGrace))
 	defer cancel()
-	return way.offer(bounded, request)
+	return outgoing.send(bounded, request)
 }
 
-// crossingWay is a request's place among those on their way to a region.
-type crossingWay struct {
+// regionRequest is a request in flight to a region.
+type regionRequest struct {
 	*regions
 	route *plan.RemoteRoute
-	// region stays the one that counts the request, whatever is installed
-	// meanwhile. It is guarded by the mutex of regions.
+	// region stays the one that counts the request, whatever is installed meanwhile.
+	// It is guarded by the mutex of regions.
 	region *remote.Region
 }
 
-// begin takes a place among the requests on their way to the region, or refuses.
-func (s *regions) begin(route *plan.RemoteRoute) (*crossingWay, query.Answer) {
+// begin counts a request as in flight to the region, or refuses it.
+func (s *regions) begin(route *plan.RemoteRoute) (*regionRequest, query.Answer) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	region, found := s.known[route.Region]
 	if !found {
-		return nil, s.unreachable(route, nil, "it is not of the configuration in force")
+		return nil, s.refuseUnreachable(route, nil, "it is not of the configuration in force")
 	}
 	switch region.Begin() {
 	case remote.Unreachable:
-		return nil, s.unreachable(route, region, "every entry router fails")
+		return nil, s.refuseUnreachable(route, region, "every entry router fails")
 	case remote.Full:
 		return nil, s.router.refusal(verdict.ReasonOverloaded, "too many requests are on their way to region "+route.Region)
 	}
-	way := &crossingWay{regions: s, route: route, region: region}
-	way.countInFlight()
-	return way, query.Answer{}
+	outgoing := &regionRequest{regions: s, route: route, region: region}
+	outgoing.countInFlight()
+	return outgoing, query.Answer{}
 }
 
-func (w *crossingWay) end() {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.region.End()
-	w.countInFlight()
+func (r *regionRequest) end() {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.region.End()
+	r.countInFlight()
 }
 
-// current reports whether the region is still of the configuration in force.
-func (w *crossingWay) current() bool { return w.known[w.route.Region] == w.region }
+// isCurrent reports whether the region is still part of the active configuration.
+func (r *regionRequest) isCurrent() bool { return r.known[r.route.Region] == r.region }
 
-func (w *crossingWay) countInFlight() {
-	if w.current() {
-		w.metrics.inFlight.WithLabelValues(w.route.Region).Set(float64(w.region.InFlight()))
+func (r *regionRequest) countInFlight() {
+	if r.isCurrent() {
+		r.metrics.inFlight.WithLabelValues(r.route.Region).Set(float64(r.region.InFlight()))
 	}
 }
 
-// unreachable refuses a request. It is called with the lock held.
-func (s *regions) unreachable(route *plan.RemoteRoute, region *remote.Region, why string) query.Answer {
-	answer := s.router.refusal(verdict.ReasonRegionUnreachable, "region "+route.Region+" can't be reached: "+why)
+// refuseUnreachable refuses a request to an unreachable region. It is called with the
+// lock held.
+func (s *regions) refuseUnreachable(route *plan.RemoteRoute, region *remote.Region, detail string) query.Answer {
+	answer := s.router.refusal(verdict.ReasonRegionUnreachable, "region "+route.Region+" can't be reached: "+detail)
 	if region != nil {
 		answer.Err.RetryAfter = region.RetryAfter(steadyclock.Now(), answer.Err.RetryAfter)
 	}
 	return answer
 }
 
-// offer asks entry routers until one answers. After a doubt whether the request
-// ran, another one is asked only if the route allows that.
-func (w *crossingWay) offer(ctx context.Context, request Request) query.Answer {
+// send tries entry routers in turn until one answers. If the request may have run,
+// another one is tried only if the route allows that.
+func (r *regionRequest) send(ctx context.Context, request Request) query.Answer {
 	var tried []netip.AddrPort
 	var last query.Answer
 	ran := verdict.NotRun
 	for range maxForwards {
-		begun := steadyclock.Now()
-		entry, found := w.choose(request, tried)
+		started := steadyclock.Now()
+		entry, found := r.choose(request, tried)
 		if !found {
 			break
 		}
-		crossing := w.caller.Cross(ctx, entry, request)
-		w.step(remote.Asked{Entry: entry, Outcome: crossing.Outcome, Begun: begun})
-		last = crossing.Answer
+		result := r.caller.Cross(ctx, entry, request)
+		r.recordOutcome(remote.Asked{Entry: entry, Outcome: result.Outcome, Begun: started})
+		last = result.Answer
 		ran = verdict.Combine(ran, last.Verdict)
-		if ctx.Err() != nil || !mayOfferAgain(last, !w.route.Repeatable) {
+		if ctx.Err() != nil || !mayTryNextRouter(last, !r.route.Repeatable) {
 			return withVerdict(last, ran)
 		}
 		tried = append(tried, entry)
@@ -199,31 +201,31 @@
 	if last.Err != nil && (ran != verdict.NotRun || last.Err.Reason == verdict.ReasonNoReplica) {
 		return withVerdict(last, ran)
 	}
-	why := "no entry router takes requests"
+	detail := "no entry router takes requests"
 	if last.Err != nil {
-		why = strings.TrimSuffix(string(last.Err.Reason)+": "+last.Err.Detail, ": ")
+		detail = strings.TrimSuffix(string(last.Err.Reason)+": "+last.Err.Detail, ": ")
 	}
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.unreachable(w.route, w.region, why)
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.refuseUnreachable(r.route, r.region, detail)
 }
 
-func (w *crossingWay) choose(request Request, tried []netip.AddrPort) (netip.AddrPort, bool) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.region.Choose(xxhash.Sum64String(request.CallerID), tried)
+func (r *regionRequest) choose(request Request, tried []netip.AddrPort) (netip.AddrPort, bool) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.region.Choose(xxhash.Sum64String(request.CallerID), tried)
 }
 
-func (w *crossingWay) step(asked remote.Asked) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	change := w.region.Step(steadyclock.Now(), asked)
-	if !w.current() {
+func (r *regionRequest) recordOutcome(asked remote.Asked) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	change := r.region.Step(steadyclock.Now(), asked)
+	if !r.isCurrent() {
 		return
 	}
-	w.report(w.route.Region, change)
+	r.report(r.route.Region, change)
 	if asked.Outcome != remote.Answered {
-		w.wakeProber()
+		r.notifyProber()
 	}
 }
 
@@ -244,13 +246,13 @@
 	s.router.record(event)
 }
 
-// QueryCrossed answers a request that another region's router handed over. It
-// may go to a router of its service's cell, but never to another region: a
-// route that is not this region's own is refused.
+// QueryCrossed answers a request that another region's router forwarded. It may be
+// forwarded to a router of its service's cell, but never to another region: a route
+// that this region does not own is refused.
 func (r *Router) QueryCrossed(ctx context.Context, request Request) query.Answer {
-	r.handed.Add(1)
-	defer r.handed.Add(-1)
-	return r.counted(request, func() query.Answer {
+	r.regionRequests.Add(1)
+	defer r.regionRequests.Add(-1)
+	return r.withMetrics(request, func() query.Answer {
 		if r.installed.Load() == nil {
 			return r.refusal(verdict.ReasonNoLease, "no configuration yet")
 		}
@@ -259,7 +261,7 @@
 		case !own:
 			return r.refusal(verdict.ReasonWrongRegion, "the region that was asked does not own route "+request.Route)
 		case route.Policy.Once && request.IDGenerated:
-			return r.refusalWithoutRetry(verdict.ReasonBadRequest, "route "+route.Name+" runs at most once and needs a request id of the caller")
+			return r.refusalWithoutRetry(verdict.ReasonBadRequest, "route "+route.Name+" runs at most once and needs a request id from the caller")
 		case route.Target == plan.TargetKey && request.Key == "":
 			return r.refusalWithoutRetry(verdict.ReasonBadRequest, "route "+route.Name+" needs the parameter key")
 		}
@@ -287,11 +289,11 @@
 	defer s.mutex.Unlock()
 	all := make([]RegionStatus, 0, len(s.known))
 	for name, region := range s.known {
-		one := RegionStatus{Name: name, Reachable: region.Reachable(), InFlight: region.InFlight(), Entries: []EntryStatus{}}
+		status := RegionStatus{Name: name, Reachable: region.Reachable(), InFlight: region.InFlight(), Entries: []EntryStatus{}}
 		for _, entry := range region.Entries() {
-			one.Entries = append(one.Entries, EntryStatus{Address: entry.Address.String(), Failing: entry.Failing, Failures: entry.Failures})
+			status.Entries = append(status.Entries, EntryStatus{Address: entry.Address.String(), Failing: entry.Failing, Failures: entry.Failures})
 		}
-		all = append(all, one)
+		all = append(all, status)
 	}
 	slices.SortFunc(all, func(left, right RegionStatus) int { return strings.Compare(left.Name, right.Name) })
 	return all
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -20,7 +20,7 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// Request is a query as the callers' API hands it over.
+// Request is a query as received by the callers' API.
 type Request struct {
 	// CallerID is the caller's request id, or one generated for it.
 	CallerID string
@@ -29,67 +29,68 @@
 	// Deadline is absolute; zero means the policy's.
 	Deadline time.Time
 	Body     []byte
-	// IDGenerated says that the caller gave no id.
+	// IDGenerated is true if the caller sent no id.
 	IDGenerated bool
 }
 
-// Router is the shell around the query engines.
+// Router runs the query engines and executes their commands.
 type Router struct {
-	config   Config
-	logger   logrus.FieldLogger
-	metrics  *routerMetrics
-	routes   *routestats.Recorder
-	backends *backend.Client
-	claims   ClaimRegistry
-	admitted AdmissionLog
-	events   EventSink
-	source   ConfigSource
+	config       Config
+	logger       logrus.FieldLogger
+	metrics      *routerMetrics
+	routes       *routestats.Recorder
+	backends     *backend.Client
+	claims       ClaimRegistry
+	admissionLog AdmissionLog
+	events       EventSink
+	source       ConfigSource
 
 	loops    []*engineLoop
 	prober   *prober
 	warmer   *warmer
 	canceler *canceler
-	shares   *shareKeeper
+	shares   *shareManager
 	settling sync.WaitGroup
 
 	installed  atomic.Pointer[installation]
 	leaseUntil atomic.Pointer[time.Time]
-	// leaseTold is the lease that all engines have taken in.
-	leaseTold atomic.Pointer[time.Time]
-	peers     atomic.Pointer[[]Peer]
-	// cells are those of the last list of live routers. They belong to the
+	// engineLeaseUntil is the end of the lease that all engines have applied.
+	engineLeaseUntil atomic.Pointer[time.Time]
+	peers            atomic.Pointer[[]Peer]
+	// cells are computed from the last list of live routers. They are used only by the
 	// configuration source's goroutine.
 	cells     *cell.Cells
-	foreign   atomic.Pointer[foreignCells]
+	peerCells atomic.Pointer[peersByService]
 	forwarder Forwarder
 	regions   *regions
-	// handed counts the requests of other routers that are under way here.
-	handed atomic.Int64
-	// stopping is set once the router reports not ready, refusing once it
-	// admits nothing any more.
+	// regionRequests counts the requests in flight that other regions forwarded.
+	regionRequests atomic.Int64
+	// stopping is set once the router reports not ready, refusing once it admits no
+	// more requests.
 	stopping atomic.Bool
 	refusing atomic.Bool
-	// warmed is set once the back ends of the first configuration are known.
-	warmed   atomic.Bool
-	requests atomic.Uint64
+	// backendsProbed is set once every back end of the first configuration has been
+	// probed.
+	backendsProbed atomic.Bool
+	requests       atomic.Uint64
 	// runContext is set by Run before the source is started.
 	runContext context.Context
 }
 
-// New returns a router that does nothing until Run.
+// New returns a router that is idle until Run.
 func New(config Config, dependencies Dependencies) *Router {
 	config = config.withDefaults()
 	metrics := newRouterMetrics(dependencies.Registerer)
 	created := &Router{
-		config:   config,
-		logger:   dependencies.Logger,
-		metrics:  metrics,
-		routes:   routestats.NewRecorder(steadyclock.Now()),
-		backends: dependencies.Backends,
-		claims:   dependencies.Claims,
-		admitted: dependencies.Admissions,
-		events:   dependencies.Events,
-		source:   dependencies.Source,
+		config:       config,
+		logger:       dependencies.Logger,
+		metrics:      metrics,
+		routes:       routestats.NewRecorder(steadyclock.Now()),
+		backends:     dependencies.Backends,
+		claims:       dependencies.Claims,
+		admissionLog: dependencies.Admissions,
+		events:       dependencies.Events,
+		source:       dependencies.Source,
 
 		forwarder: dependencies.Forwarder,
 
@@ -98,7 +99,7 @@
 	}
 	created.cells = cell.NewCells([]string{config.Name})
 	created.canceler = newCanceler(created)
-	created.shares = newShareKeeper(created)
+	created.shares = newShareManager(created)
 	created.regions = newRegions(created, dependencies)
 	for index := range config.Engines {
 		sender := dependencies.Backends.Sender(created.senderName(index))
@@ -115,40 +116,40 @@
 	return r.config.Name + "-" + strconv.FormatUint(r.config.Boot, base) + "-" + strconv.Itoa(index)
 }
 
-// Run drives the engines and follows the configuration source until the
-// context ends. Call Stop before ending it at a planned stop.
+// Run runs the engines and follows the configuration source until the context ends.
+// At a planned stop, call Stop before ending the context.
 func (r *Router) Run(ctx context.Context) error {
-	// The engines outlive the caller's context by their last steps; everything
-	// that they start hangs on this one.
+	// The engines outlive the caller's context by their last steps; everything they
+	// start uses this context.
 	running, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r.runContext = running
-	var duties sync.WaitGroup
+	var workers sync.WaitGroup
 	for _, loop := range r.loops {
-		duties.Go(func() { loop.run(running) })
+		workers.Go(func() { loop.run(running) })
 	}
-	duties.Go(func() { r.shares.run(running) })
-	duties.Go(func() { r.regions.run(running) })
+	workers.Go(func() { r.shares.run(running) })
+	workers.Go(func() { r.regions.run(running) })
 	for range cancelWorkers {
-		duties.Go(func() { r.canceler.run(running) })
+		workers.Go(func() { r.canceler.run(running) })
 	}
 	for range warmWorkers {
-		duties.Go(func() { r.warmer.run(running) })
+		workers.Go(func() { r.warmer.run(running) })
 	}
 	err := r.source.Run(running, r)
 	<-ctx.Done()
 	cancel()
 	r.prober.close()
-	duties.Wait()
+	workers.Wait()
 	r.settling.Wait()
 	r.backends.Close()
 	return errors.Wrap(err, "configuration source")
 }
 
-// Query answers a request. It returns at the latest when the engine answers,
-// or when the context ends because the caller has gone.
+// Query answers a request. It returns when the engine answers or when the context
+// ends because the caller has disconnected, whichever is first.
 func (r *Router) Query(ctx context.Context, request Request) query.Answer {
-	return r.counted(request, func() query.Answer {
+	return r.withMetrics(request, func() query.Answer {
 		if route, remote := r.RemoteRouteNamed(request.Route); remote {
 			return r.regions.query(ctx, route, request)
 		}
@@ -156,28 +157,28 @@
 	})
 }
 
-// counted answers a request and counts the answer.
-func (r *Router) counted(request Request, answering func() query.Answer) query.Answer {
+// withMetrics answers a request and counts the answer.
+func (r *Router) withMetrics(request Request, respond func() query.Answer) query.Answer {
 	arrived := steadyclock.Now()
-	answer := answering()
+	answer := respond()
 	elapsed := steadyclock.Since(arrived)
 	r.metrics.countAnswer(r.routeLabel(request.Route), answer, elapsed)
 	r.routes.Record(arrived.Add(elapsed), r.routeLabel(request.Route), sampleOf(answer, elapsed))
 	return answer
 }
 
-// dispatch answers a request for a route of this region here, or through a
+// dispatch answers a request for a route of this region, either itself or through a
 // router of its service's cell.
 func (r *Router) dispatch(ctx context.Context, request Request) query.Answer {
 	route, known := r.RouteNamed(request.Route)
 	if !known || r.refusing.Load() {
 		return r.QueryLocal(ctx, request)
 	}
-	peers := r.cellOf(route.Service)
+	peers := r.cellPeers(route.Service)
 	if len(peers) == 0 {
 		answer := r.QueryLocal(ctx, request)
 		// The router may have left the cell meanwhile.
-		peers = r.cellOf(route.Service)
+		peers = r.cellPeers(route.Service)
 		if answer.Err == nil || answer.Verdict != verdict.NotRun ||
 			answer.Err.Reason != verdict.ReasonNoReplica || len(peers) == 0 {
 			return answer
@@ -186,7 +187,7 @@
 	return r.forward(ctx, peers, route, request)
 }
 
-// QueryLocal answers a request without handing it to another router.
+// QueryLocal answers a request without forwarding it to another router.
 func (r *Router) QueryLocal(ctx context.Context, request Request) query.Answer {
 	current := r.installed.Load()
 	if current == nil {
@@ -197,11 +198,11 @@
 		return r.refusalWithoutRetry(verdict.ReasonUnknownRoute, "no route "+strconv.Quote(request.Route))
 	}
 	if _, own := current.own.RouteNamed(request.Route); !own {
-		// A peer with another list of routers handed it over.
-		return r.notOfCell()
+		// A peer with a different list of routers forwarded it.
+		return r.refuseNotInCell()
 	}
 	id := query.RequestID(r.requests.Add(1))
-	// Room for one answer, so that the engine never waits for a caller.
+	// Buffered for the only answer, so that the engine never waits for a caller.
 	reply := make(chan query.Answer, 1)
 	accepted := owner.admissions.TryPush(admission{reply: reply, request: query.Request{
 		ID:         id,
@@ -218,33 +219,33 @@
 	select {
 	case answer := <-reply:
 		if answer.Err != nil && answer.Err.Reason == verdict.ReasonUnknownRoute {
-			// The engine was told first that the router has left the cell.
-			return r.notOfCell()
+			// The engine learned first that the router has left the cell.
+			return r.refuseNotInCell()
 		}
 		return answer
 	case <-ctx.Done():
 		owner.pushOutcome(query.CallerGone{Request: id})
-		return callerGone()
-	case <-owner.ended:
+		return canceledAnswer()
+	case <-owner.exited:
 		return query.Answer{Verdict: verdict.MayHaveRun,
 			Err: &verdict.Error{Verdict: verdict.MayHaveRun, Reason: verdict.ReasonStopping}}
 	}
 }
 
-// notOfCell refuses a request for a service that other routers serve.
-func (r *Router) notOfCell() query.Answer {
+// refuseNotInCell refuses a request for a service that other routers serve.
+func (r *Router) refuseNotInCell() query.Answer {
 	return r.refusal(verdict.ReasonNoReplica, "this router is not of the service's cell")
 }
 
-func callerGone() query.Answer {
+func canceledAnswer() query.Answer {
 	return query.Answer{Verdict: verdict.MayHaveRun,
 		Err: &verdict.Error{Verdict: verdict.MayHaveRun, Reason: verdict.ReasonCanceled}}
 }
 
-// refusal is the answer to a request of which nothing was sent.
+// refusal returns the answer to a request of which nothing was sent.
 func (r *Router) refusal(reason verdict.Reason, detail string) query.Answer {
 	answer := r.refusalWithoutRetry(reason, detail)
-	answer.Err.RetryAfter = r.config.RefusalPause
+	answer.Err.RetryAfter = r.config.RefusalRetryAfter
 	return answer
 }
 
@@ -252,7 +253,8 @@
 	return query.Answer{Verdict: verdict.NotRun, Err: verdict.Refuse(reason, detail)}
 }
 
-// routeLabel keeps names that callers made up out of the metrics.
+// routeLabel replaces route names that are not configured, so that callers can not
+// create metric labels.
 func (r *Router) routeLabel(route string) string {
 	const unknown = "unknown"
 	current := r.installed.Load()
@@ -267,11 +269,11 @@
 	return route
 }
 
-// record hands an event to the sink, which numbers it.
+// record passes an event to the sink, which numbers it.
 func (r *Router) record(event journal.Event) {
 	event.Source = r.config.Name
 	if event.Time.IsZero() {
-		event.Time = time.Now() // The wall clock: a person reads it.
+		event.Time = time.Now() // Wall clock: the time is for human readers.
 	}
 	r.events.Record(event)
 }
--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -14,32 +14,32 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// shareKeeper holds this router's share of every back end's connections and
-// slots in step with the plan, the live routers and the lease. Smaller shares
-// are taken before bigger ones; see package cell.
-type shareKeeper struct {
+// shareManager updates this router's share of every back end's connections and slots
+// when the plan, the live routers or the lease change. Reduced shares are applied
+// before increased ones; see package cell.
+type shareManager struct {
 	router *Router
-	// changed wakes run after the inputs changed.
+	// changed notifies run that the inputs changed.
 	changed chan struct{}
 
 	mutex sync.Mutex
-	// plan is the whole one, own the part that this router serves itself.
+	// plan is the complete plan, own the part that this router serves itself.
 	plan    *plan.Plan
 	own     *plan.Plan
 	cells   *cell.Cells
 	targets map[netip.AddrPort]probeTarget
 	ledger  *cell.Ledger
-	// lapsed is set while nothing may be held for want of a lease.
+	// lapsed is set while all shares are zero because no lease is valid.
 	lapsed  bool
 	applied map[netip.AddrPort]cell.Share
 }
 
-// lapseFraction is the part of the share delay for which connections are kept
-// after the lease has lapsed.
-const lapseFraction = 4
+// leaseGraceDivisor is the divisor of the share delay that gives the time for which
+// connections are kept after the lease has lapsed.
+const leaseGraceDivisor = 4
 
-func newShareKeeper(router *Router) *shareKeeper {
-	return &shareKeeper{
+func newShareManager(router *Router) *shareManager {
+	return &shareManager{
 		router:  router,
 		changed: make(chan struct{}, 1),
 		ledger:  cell.NewLedger(router.config.ShareDelay),
@@ -48,159 +48,158 @@
 	}
 }
 
-// installPlan takes in a new plan or new cells. The shares of its back ends are
-// applied before it returns, so that no engine uses more than its share of a
-// new one.
-func (k *shareKeeper) installPlan(installed *installation, cells *cell.Cells) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.ledger.Outside(k.joined(installed.own))
-	k.plan, k.own, k.cells = installed.plan, installed.own, cells
-	k.targets = k.router.probeTargets(installed.own)
-	k.refresh(steadyclock.Now())
+// installPlan applies a new plan or new cells. The shares of its back ends take
+// effect before it returns, so that no engine uses more than its share of a new one.
+func (m *shareManager) installPlan(installed *installation, cells *cell.Cells) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.ledger.Outside(m.newlyOwned(installed.own))
+	m.plan, m.own, m.cells = installed.plan, installed.own, cells
+	m.targets = m.router.probeTargets(installed.own)
+	m.refresh(steadyclock.Now())
 }
 
-// joined returns the back ends that the router had no share of until now,
-// because it was not of their services' cells.
-func (k *shareKeeper) joined(own *plan.Plan) []netip.AddrPort {
-	if k.plan == nil {
+// newlyOwned returns the back ends that the router had no share of until now, because
+// it was not in their services' cells.
+func (m *shareManager) newlyOwned(own *plan.Plan) []netip.AddrPort {
+	if m.plan == nil {
 		return nil
 	}
-	var joined []netip.AddrPort
+	var added []netip.AddrPort
 	for _, service := range own.Services {
-		if _, before := k.own.ServiceNamed(service.Name); before {
+		if _, before := m.own.ServiceNamed(service.Name); before {
 			continue
 		}
-		if former, known := k.plan.ServiceNamed(service.Name); known {
-			joined = append(joined, addressesOf(*former)...)
+		if former, known := m.plan.ServiceNamed(service.Name); known {
+			added = append(added, addressesOf(*former)...)
 		}
 	}
-	return joined
+	return added
 }
 
-// setLease takes in whether the router may hold connections by its lease.
-func (k *shareKeeper) setLease(valid bool) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.takeLease(valid)
+// setLease sets whether the lease allows the router to hold connections.
+func (m *shareManager) setLease(valid bool) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.setLeaseLocked(valid)
 }
 
-// lapse gives the shares up if the lease had run out at a time. The lease is
-// looked at with the lock held: one that is granted meanwhile would otherwise be
-// taken as given up, and a lease that is granted only once was then missed.
-func (k *shareKeeper) lapse(at time.Time) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if !k.router.leaseValidAt(at) {
-		k.takeLease(false)
+// expireLease releases the shares if the lease had expired at the given time. The
+// lease is checked with the lock held: otherwise a lease granted concurrently could
+// be overwritten as expired, and a lease that is granted only once would be lost.
+func (m *shareManager) expireLease(at time.Time) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if !m.router.leaseValidAt(at) {
+		m.setLeaseLocked(false)
 	}
 }
 
-// takeLease is called with the lock held.
-func (k *shareKeeper) takeLease(valid bool) {
-	if k.lapsed == !valid {
+// setLeaseLocked is setLease with the lock already held.
+func (m *shareManager) setLeaseLocked(valid bool) {
+	if m.lapsed == !valid {
 		return
 	}
-	k.lapsed = !valid
-	if k.lapsed {
-		k.ledger.Reset()
+	m.lapsed = !valid
+	if m.lapsed {
+		m.ledger.Reset()
 	}
-	k.refresh(steadyclock.Now())
+	m.refresh(steadyclock.Now())
 }
 
-// refresh computes the shares anew and applies what changed.
-func (k *shareKeeper) refresh(now time.Time) {
-	if k.plan == nil {
+// refresh recomputes the shares and applies the changes.
+func (m *shareManager) refresh(now time.Time) {
+	if m.plan == nil {
 		return
 	}
-	if !k.lapsed && !k.router.config.Alone {
-		k.ledger.Install(now, k.cells.Shares(k.plan, k.router.config.Name))
+	if !m.lapsed && !m.router.config.Alone {
+		m.ledger.Install(now, m.cells.Shares(m.plan, m.router.config.Name))
 	}
-	k.apply(now)
+	m.apply(now)
 	select {
-	case k.changed <- struct{}{}:
+	case m.changed <- struct{}{}:
 	default:
 	}
 }
 
-// apply hands out the shares that hold now and returns when some may grow.
-func (k *shareKeeper) apply(now time.Time) time.Time {
-	effective, next := k.effective(now)
+// apply applies the shares in effect now and returns when some may grow.
+func (m *shareManager) apply(now time.Time) time.Time {
+	effective, next := m.effective(now)
 	for _, growing := range []bool{false, true} {
 		for address, share := range effective {
-			if (share.Connections > k.applied[address].Connections) == growing {
-				k.applyOne(address, share)
+			if (share.Connections > m.applied[address].Connections) == growing {
+				m.applyOne(address, share)
 			}
 		}
 	}
-	for address := range k.applied {
+	for address := range m.applied {
 		if _, kept := effective[address]; !kept {
-			delete(k.applied, address)
-			k.router.backends.Resize(address, 0)
+			delete(m.applied, address)
+			m.router.backends.Resize(address, 0)
 		}
 	}
 	return next
 }
 
-// effective returns what may be used now: nothing without a lease, the whole
-// of every back end for a router alone, else what the ledger says.
-func (k *shareKeeper) effective(now time.Time) (map[netip.AddrPort]cell.Share, time.Time) {
+// effective returns the shares that may be used now: none without a lease, all of
+// every back end for a standalone router, otherwise those of the ledger.
+func (m *shareManager) effective(now time.Time) (map[netip.AddrPort]cell.Share, time.Time) {
 	switch {
-	case k.plan == nil:
+	case m.plan == nil:
 		return nil, time.Time{}
-	case k.lapsed:
-		return lo.MapValues(cell.Whole(k.own), func(cell.Share, netip.AddrPort) cell.Share { return cell.Share{} }), time.Time{}
-	case k.router.config.Alone:
-		return cell.Whole(k.plan), time.Time{}
+	case m.lapsed:
+		return lo.MapValues(cell.Whole(m.own), func(cell.Share, netip.AddrPort) cell.Share { return cell.Share{} }), time.Time{}
+	case m.router.config.Alone:
+		return cell.Whole(m.plan), time.Time{}
 	default:
-		return k.ledger.Effective(now)
+		return m.ledger.Effective(now)
 	}
 }
 
-func (k *shareKeeper) applyOne(address netip.AddrPort, share cell.Share) {
-	if applied, ok := k.applied[address]; ok && applied == share {
+func (m *shareManager) applyOne(address netip.AddrPort, share cell.Share) {
+	if applied, ok := m.applied[address]; ok && applied == share {
 		return
 	}
-	k.applied[address] = share
-	k.router.backends.Resize(address, share.Connections)
-	for _, loop := range k.targets[address].loops {
+	m.applied[address] = share
+	m.router.backends.Resize(address, share.Connections)
+	for _, loop := range m.targets[address].loops {
 		loop.pushNotice(query.ShareChanged{Address: address, Slots: share.Slots, Connections: share.Connections}, nil)
 	}
 }
 
-// run applies growth when its time has come, and notices a lapsed lease.
-func (k *shareKeeper) run(ctx context.Context) {
+// run applies growing shares when they are due, and detects an expired lease.
+func (m *shareManager) run(ctx context.Context) {
 	const leaseCheck = 100 * time.Millisecond
 	for {
-		// Requests admitted before the lapse finish in this time. It ends well
-		// before the others take over what this router held.
-		k.lapse(steadyclock.Now().Add(-k.router.config.ShareDelay / lapseFraction))
-		k.mutex.Lock()
-		next := k.apply(steadyclock.Now())
-		k.mutex.Unlock()
+		// Requests admitted before the lease expired finish in this time. It ends well
+		// before other routers take over this router's shares.
+		m.expireLease(steadyclock.Now().Add(-m.router.config.ShareDelay / leaseGraceDivisor))
+		m.mutex.Lock()
+		next := m.apply(steadyclock.Now())
+		m.mutex.Unlock()
 		pause := leaseCheck
 		if !next.IsZero() {
 			pause = min(pause, max(steadyclock.Until(next), time.Millisecond))
 		}
 		select {
 		case <-time.After(pause):
-		case <-k.changed:
+		case <-m.changed:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// held reports whether shares were taken under a valid lease.
-func (k *shareKeeper) held() bool {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.plan != nil && !k.lapsed
+// hasShares reports whether shares were applied under a valid lease.
+func (m *shareManager) hasShares() bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.plan != nil && !m.lapsed
 }
 
-// describe returns the shares in use, for the status page.
-func (k *shareKeeper) describe(address netip.AddrPort) cell.Share {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.applied[address]
+// shareOf returns the share of a back end in use.
+func (m *shareManager) shareOf(address netip.AddrPort) cell.Share {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.applied[address]
 }
--- a/internal/router/start_test.go
+++ b/internal/router/start_test.go
@@ -17,9 +17,9 @@
 	"github.com/martenstage/martenstage/internal/router"
 )
 
-// A lease that is granted once, as a policy file's is, makes a router ready at
-// whatever moment of its start it comes. Many routers start at once, so that some
-// of them are given theirs while they look for it.
+// Guards against a lost lease if it is granted only once, as that of a policy file,
+// while the router is starting and checks its lease. Many routers start at once so
+// that some of them receive theirs during that check.
 func TestALeaseGrantedOnceIsNotMissed(t *testing.T) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
@@ -40,11 +40,11 @@
 			})
 		}
 		round, endRound := context.WithCancel(running)
-		for _, one := range started {
-			routers.Go(func() { _ = one.Run(round) })
+		for _, served := range started {
+			routers.Go(func() { _ = served.Run(round) })
 		}
-		for index, one := range started {
-			require.Eventually(t, func() bool { ready, _ := one.Ready(); return ready }, 10*time.Second, time.Millisecond, "router %d", index)
+		for index, served := range started {
+			require.Eventually(t, func() bool { ready, _ := served.Ready(); return ready }, 10*time.Second, time.Millisecond, "router %d", index)
 		}
 		endRound()
 	}
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -48,7 +48,7 @@
 	switch {
 	case r.stopping.Load():
 		return false, verdict.ReasonStopping
-	case r.installed.Load() == nil, !r.leaseValid(), !validAt(r.leaseTold.Load(), steadyclock.Now()):
+	case r.installed.Load() == nil, !r.leaseValid(), !validAt(r.engineLeaseUntil.Load(), steadyclock.Now()):
 		return false, verdict.ReasonNoLease
 	case !r.backendsKnown():
 		return false, verdict.ReasonNoSnapshot
@@ -57,16 +57,16 @@
 	}
 }
 
-// backendsKnown reports whether, since the start, every back end that this
-// router connects to has been asked what it serves. Before that a request
-// would be refused for want of a snapshot.
+// backendsKnown reports whether every back end that this router connects to has been
+// probed since the start. Before that, requests would be refused for lack of a
+// snapshot.
 func (r *Router) backendsKnown() bool {
-	if r.warmed.Load() {
+	if r.backendsProbed.Load() {
 		return true
 	}
-	known := r.cellsKnown() && r.shares.held() && r.prober.allKnown(func(address netip.AddrPort) bool { return r.shares.describe(address).Connections > 0 })
+	known := r.cellsKnown() && r.shares.hasShares() && r.prober.allKnown(func(address netip.AddrPort) bool { return r.shares.shareOf(address).Connections > 0 })
 	if known {
-		r.warmed.Store(true)
+		r.backendsProbed.Store(true)
 	}
 	return known
 }
@@ -75,10 +75,10 @@
 
 func (r *Router) leaseValidAt(at time.Time) bool { return validAt(r.leaseUntil.Load(), at) }
 
-// validAt reports whether a lease until a time, nil for none, is valid at another.
+// validAt reports whether a lease is valid at a time; until is nil if there is none.
 func validAt(until *time.Time, at time.Time) bool { return until != nil && at.Before(*until) }
 
-// Routes lists the routes in force.
+// Routes returns the active routes.
 func (r *Router) Routes() []plan.Route {
 	current := r.installed.Load()
 	if current == nil {
@@ -87,7 +87,7 @@
 	return current.plan.Routes
 }
 
-// RouteNamed returns a route in force.
+// RouteNamed returns an active route.
 func (r *Router) RouteNamed(name string) (*plan.Route, bool) {
 	current := r.installed.Load()
 	if current == nil {
@@ -96,7 +96,7 @@
 	return current.plan.RouteNamed(name)
 }
 
-// RemoteRoutes lists the routes in force that other regions own.
+// RemoteRoutes returns the active routes that other regions own.
 func (r *Router) RemoteRoutes() []plan.RemoteRoute {
 	current := r.installed.Load()
 	if current == nil {
@@ -105,7 +105,7 @@
 	return current.plan.RemoteRoutes
 }
 
-// RemoteRouteNamed returns a route in force that another region owns.
+// RemoteRouteNamed returns an active route that another region owns.
 func (r *Router) RemoteRouteNamed(name string) (*plan.RemoteRoute, bool) {
 	current := r.installed.Load()
 	if current == nil {
@@ -115,10 +115,10 @@
 	return route, found
 }
 
-// RouteReports returns what was done with requests lately, by route.
+// RouteReports returns the recent request statistics of each route.
 func (r *Router) RouteReports(now time.Time) []*v1.RouteReport { return r.routes.Reports(now) }
 
-// sampleOf describes the end of a request for the route's report.
+// sampleOf converts an answer into a sample for the route's report.
 func sampleOf(answer query.Answer, elapsed time.Duration) routestats.Sample {
 	sample := routestats.Sample{
 		Latency: elapsed, Complete: answer.Complete, Late: answer.Late,
@@ -135,7 +135,7 @@
 	return sample
 }
 
-// Status describes the router now.
+// Status returns the current status of the router.
 func (r *Router) Status() Status {
 	status := Status{
 		Name:       r.config.Name,
@@ -165,23 +165,23 @@
 	status := ServiceStatus{Name: service.Name, Backends: []BackendStatus{}}
 	for _, address := range addressesOf(service) {
 		open, idle := r.backends.Connections(address)
-		share := r.shares.describe(address)
+		share := r.shares.shareOf(address)
 		status.Backends = append(status.Backends, BackendStatus{Address: address.String(), Open: open, Idle: idle,
 			Connections: share.Connections, Slots: share.Slots})
 	}
 	return status
 }
 
-// handedPoll is the pause between two looks at the requests that other regions
-// handed over.
-const handedPoll = 5 * time.Millisecond
+// regionRequestsPollInterval is the interval at which Stop checks for requests
+// forwarded by other regions.
+const regionRequestsPollInterval = 5 * time.Millisecond
 
-// BeginStop makes the router report not ready, so that callers move away. It
-// still serves.
+// BeginStop makes the router report not ready, so that callers switch to other
+// routers. It still serves requests.
 func (r *Router) BeginStop() { r.stopping.Store(true) }
 
-// Stop refuses new requests and returns once those under way are answered,
-// claims are settled and events are stored, or when the context ends.
+// Stop refuses new requests and returns once those in flight are answered, claims are
+// settled and events are stored, or when the context ends.
 func (r *Router) Stop(ctx context.Context) error {
 	r.BeginStop()
 	r.refusing.Store(true)
@@ -191,15 +191,15 @@
 	for _, loop := range r.loops {
 		select {
 		case <-loop.stopped:
-		case <-loop.ended:
+		case <-loop.exited:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
-	// A request of another region may be with a router of its cell, where no
-	// engine of this router knows of it.
-	for r.handed.Load() > 0 {
-		if !wait.For(ctx, handedPoll) {
+	// A request of another region may have been forwarded to a router of its cell, in
+	// which case no engine of this router tracks it.
+	for r.regionRequests.Load() > 0 {
+		if !wait.For(ctx, regionRequestsPollInterval) {
 			return ctx.Err()
 		}
 	}
--- a/internal/router/duties.go
+++ b/internal/router/workers.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// cancelRing bounds the cancellations that wait; the oldest is dropped,
-	// since a back end notices the closed connection and the deadline, too.
-	cancelRing = 4096
-	// cancelWorkers is how many cancellations are sent at once.
+	// cancelCapacity bounds the queued cancellations; the oldest is dropped, since a
+	// back end also notices the closed connection and the deadline.
+	cancelCapacity = 4096
+	// cancelWorkers is the number of concurrent cancellations.
 	cancelWorkers = 8
-	// warmRing bounds the requests to open connections; the oldest is
+	// warmCapacity bounds the queued requests to open connections; the oldest is
 	// dropped, since the prober maintains the pools anyway.
-	warmRing = 1024
-	// warmWorkers is how many servers are connected to at once.
+	warmCapacity = 1024
+	// warmWorkers is the number of servers to which connections are opened
+	// concurrently.
 	warmWorkers = 8
 )
 
@@ -28,10 +29,10 @@
 }
 
 func newCanceler(router *Router) *canceler {
-	return &canceler{waiting: ring.New[cancellation](cancelRing), router: router}
+	return &canceler{waiting: ring.New[cancellation](cancelCapacity), router: router}
 }
 
-func (c *canceler) want(canceled cancellation) {
+func (c *canceler) enqueue(canceled cancellation) {
 	c.router.metrics.cancelsDropped.Add(float64(c.waiting.PushDropOldest(canceled)))
 }
 
@@ -54,17 +55,17 @@
 	}
 }
 
-// warmer opens connections ahead of use.
+// warmer opens connections before they are needed.
 type warmer struct {
 	waiting  *ring.Ring[query.Warm]
 	backends *backend.Client
 }
 
 func newWarmer(backends *backend.Client) *warmer {
-	return &warmer{waiting: ring.New[query.Warm](warmRing), backends: backends}
+	return &warmer{waiting: ring.New[query.Warm](warmCapacity), backends: backends}
 }
 
-func (w *warmer) want(command query.Warm) { w.waiting.PushDropOldest(command) }
+func (w *warmer) enqueue(command query.Warm) { w.waiting.PushDropOldest(command) }
 
 func (w *warmer) run(ctx context.Context) {
 	for {
