--- a/internal/gateway/claims.go
+++ b/internal/gateway/claims.go
@@ -15,117 +15,115 @@
 	"github.com/martenstage/martenstage/internal/scatter"
 )
 
-// pathClaim is the call by which a router that gathers a slice asks the one that sent it
-// for attempts beyond the first of some shards.
+// pathClaim is the path of claims: a router that gathers a slice requests permission from the
+// router that sent it for attempts beyond the first of some shards.
 const pathClaim = "/router/claim"
 
-// claimTimeout bounds such a call; a hedge that is sent later is seldom in time.
+// claimTimeout bounds a claim; a hedge that is sent later rarely returns in time.
 const claimTimeout = 150 * time.Millisecond
 
-// claimToken names a slice at the router that sent it. No two starts of a router use the
-// same ones, but by chance.
+// claimToken identifies a slice at the router that sent it. Tokens are random, so that two
+// starts of a router share one only by chance.
 type claimToken uint64
 
-// claimTarget is where claims for a slice go. Those for a router without an address are
-// refused.
+// claimTarget is where claims for a slice are sent. Claims without an address are refused.
 type claimTarget struct {
 	Address string     `json:"address,omitempty"`
 	Token   claimToken `json:"token,omitempty"`
 }
 
-// claimRequest asks for attempts beyond the first of shards, by their positions in the
+// claimRequest requests attempts beyond the first for shards, given by their positions in the
 // slice.
 type claimRequest struct {
 	Token  claimToken `json:"token"`
 	Shards []int      `json:"shards"`
 }
 
-// claimBook holds what was granted to the routers that gather slices for this one, so
-// that it knows of each shard how many attempts may have been sent. It is safe for
-// concurrent use.
-type claimBook struct {
+// claimTable records the attempts granted to the routers that gather slices for this one, to
+// bound how many attempts may have been sent for each shard. It is safe for concurrent use.
+type claimTable struct {
 	mutex sync.Mutex
-	// granted counts the attempts beyond the first that may be sent for each shard, by its
-	// position, of each open slice.
+	// granted counts, for each open slice and shard position, the attempts allowed beyond the
+	// first.
 	granted map[claimToken]map[int]int
 }
 
-func newClaimBook() *claimBook {
-	return &claimBook{granted: make(map[claimToken]map[int]int)}
+func newClaimTable() *claimTable {
+	return &claimTable{granted: make(map[claimToken]map[int]int)}
 }
 
-// open returns the token of a new slice.
-func (b *claimBook) open() claimToken {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+// open registers a new slice and returns its token.
+func (t *claimTable) open() claimToken {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	for {
 		token := claimToken(rand.Uint64())
-		if _, taken := b.granted[token]; !taken && token != 0 {
-			b.granted[token] = nil
+		if _, taken := t.granted[token]; !taken && token != 0 {
+			t.granted[token] = nil
 			return token
 		}
 	}
 }
 
-// grant allows one more attempt for shards, unless the slice was closed.
-func (b *claimBook) grant(asked claimRequest) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	granted, open := b.granted[asked.Token]
+// grant allows one more attempt for each of the shards, unless the slice was closed.
+func (t *claimTable) grant(request claimRequest) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	granted, open := t.granted[request.Token]
 	if !open {
 		return false
 	}
 	if granted == nil {
-		granted = make(map[int]int, len(asked.Shards))
-		b.granted[asked.Token] = granted
+		granted = make(map[int]int, len(request.Shards))
+		t.granted[request.Token] = granted
 	}
-	for _, position := range asked.Shards {
+	for _, position := range request.Shards {
 		granted[position]++
 	}
 	return true
 }
 
-// close ends the claims of a slice and returns what was granted.
-func (b *claimBook) close(token claimToken) map[int]int {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	granted := b.granted[token]
-	delete(b.granted, token)
+// close ends the claims of a slice and returns the attempts that were granted.
+func (t *claimTable) close(token claimToken) map[int]int {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	granted := t.granted[token]
+	delete(t.granted, token)
 	return granted
 }
 
-// maxClaimBytes bounds a claim.
+// maxClaimBytes bounds the body of a claim.
 const maxClaimBytes = 1 << 20
 
-// serveClaim answers a router that gathers a slice for this one.
+// serveClaim answers the claim of a router that gathers a slice for this one.
 func (g *Gateway) serveClaim(writer http.ResponseWriter, request *http.Request) {
-	var asked claimRequest
-	if err := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxClaimBytes)).Decode(&asked); err != nil {
+	var claim claimRequest
+	if err := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxClaimBytes)).Decode(&claim); err != nil {
 		http.Error(writer, "the claim can't be read", http.StatusBadRequest)
 		return
 	}
-	if !g.claims.grant(asked) {
+	if !g.claims.grant(claim) {
 		http.Error(writer, "the slice is not waited for", http.StatusConflict)
 	}
 }
 
-// claim asks the router that sent a slice for attempts beyond the first of shards. Nil
+// claim requests attempts beyond the first for shards from the router that sent the slice. Nil
 // means that they are granted.
-func (c *sliceClient) claim(at claimTarget, shards []int) error {
-	body, err := json.Marshal(claimRequest{Token: at.Token, Shards: shards})
+func (c *sliceClient) claim(target claimTarget, shards []int) error {
+	body, err := json.Marshal(claimRequest{Token: target.Token, Shards: shards})
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at.Address+pathClaim, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target.Address+pathClaim, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	// One that is granted twice is counted twice, which only leaves attempts unused, so that
-	// a kept connection that ended may be replaced.
+	// The claim may be retried when a kept connection has ended: a claim granted twice is
+	// counted twice, which only leaves attempts unused.
 	request.Header["Idempotency-Key"] = []string{}
-	// The token names the asker; it is not asked by its name.
+	// The token identifies the requesting router, so that its name is not checked.
 	expected := addressee.Identity{Group: c.group()}
 	addressee.Mark(request.Header, expected)
 	response, err := c.http.Do(request)
@@ -137,19 +135,19 @@
 		return err
 	}
 	if response.StatusCode != http.StatusOK {
-		return errors.Newf("status %d", response.StatusCode)
+		return errors.Newf("unexpected status %d", response.StatusCode)
 	}
 	return nil
 }
 
-// sendClaims asks for what the step wants to repeat, in one message for each request.
+// sendClaims sends the claims of the current step, one message for each request.
 func (l *loop) sendClaims() {
-	for id, shards := range l.claiming {
-		waiting, ok := l.waiting[id]
+	for id, shards := range l.pendingClaims {
+		submitted, ok := l.pending[id]
 		if !ok {
 			continue
 		}
-		target := waiting.claims
+		target := submitted.claims
 		go func() {
 			err := l.claim(target, shards)
 			if err != nil {
@@ -158,5 +156,5 @@
 			l.events <- scatter.Granted{Request: id, Shards: shards, Refused: err != nil}
 		}()
 	}
-	clear(l.claiming)
+	clear(l.pendingClaims)
 }
--- a/internal/gateway/client_connection.go
+++ b/internal/gateway/client_connection.go
@@ -17,28 +17,27 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// clientConnection is what a router knows of the connection of a client.
+// clientConnection is the state of a client's connection.
 type clientConnection struct {
 	conn net.Conn
-	// served counts the requests that came over it.
+	// served counts the requests received on the connection.
 	served atomic.Int64
-	// reading says that the header of a request is on its way; since is from when
-	// on, or from when on there is no request, as a duration of clientConnections.
+	// reading reports whether a request header is being received. since is when that began or
+	// when the connection became idle, as a duration since clientConnections.started.
 	reading atomic.Bool
 	since   atomic.Int64
 }
 
 type clientConnectionKey struct{}
 
-// clientConnections are the open connections of clients. It is safe for
-// concurrent use.
+// clientConnections tracks the open connections of clients. It is safe for concurrent use.
 type clientConnections struct {
-	// started is what durations count from: it holds the steady clock's reading, so
-	// that a step of the time of day closes nothing.
+	// started is the reference of durations. It is a reading of the steady clock, so that a
+	// step of the wall clock closes no connection.
 	started time.Time
 	mutex   sync.Mutex
 	open    map[net.Conn]*clientConnection
-	// closed counts the connections that were ended for what limit.
+	// closed counts the connections closed for exceeding a limit, by limit.
 	closed *prometheus.CounterVec
 }
 
@@ -51,55 +50,55 @@
 	}
 }
 
-// begin lets handlers find the connection of a request.
+// begin registers a connection and adds it to the context of its requests.
 func (c *clientConnections) begin(ctx context.Context, conn net.Conn) context.Context {
-	began := &clientConnection{conn: conn}
-	began.since.Store(int64(steadyclock.Since(c.started)))
+	opened := &clientConnection{conn: conn}
+	opened.since.Store(int64(steadyclock.Since(c.started)))
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.open[conn] = began
-	return context.WithValue(ctx, clientConnectionKey{}, began)
+	c.open[conn] = opened
+	return context.WithValue(ctx, clientConnectionKey{}, opened)
 }
 
-// change follows the states of a connection, as net/http tells them.
-func (c *clientConnections) change(conn net.Conn, state http.ConnState) {
+// setState follows the states of a connection that net/http reports.
+func (c *clientConnections) setState(conn net.Conn, state http.ConnState) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	changed, known := c.open[conn]
+	connection, known := c.open[conn]
 	if !known {
 		return
 	}
 	switch state {
 	case http.StateActive, http.StateIdle:
-		changed.since.Store(int64(steadyclock.Since(c.started)))
-		changed.reading.Store(state == http.StateActive)
+		connection.since.Store(int64(steadyclock.Since(c.started)))
+		connection.reading.Store(state == http.StateActive)
 	case http.StateClosed, http.StateHijacked:
 		delete(c.open, conn)
 	case http.StateNew:
 	}
 }
 
-// busy is the time of a connection on which a request is served.
-const busy = 0
+// requestInProgress is the value of since while a request is served.
+const requestInProgress = 0
 
-// serving says that the header of a request is whole.
-func (c *clientConnection) serving() {
+// headerComplete records that a request header was received completely.
+func (c *clientConnection) headerComplete() {
 	c.reading.Store(false)
-	c.since.Store(busy)
+	c.since.Store(requestInProgress)
 }
 
-// enforce closes the connections that take longer than the limits allow: for a
-// header once its first byte is in, or without any request.
+// enforce closes the connections that exceed a time limit: for receiving a header, counted
+// from its first byte, or for being idle.
 func (c *clientConnections) enforce(now time.Time, limits routing.Limits) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for conn, checked := range c.open {
-		since := checked.since.Load()
-		if since == busy {
+	for conn, tracked := range c.open {
+		since := tracked.since.Load()
+		if since == requestInProgress {
 			continue
 		}
 		limit, name := limits.IdleTime, "idle_time"
-		if checked.reading.Load() {
+		if tracked.reading.Load() {
 			limit, name = limits.HeaderTime, "header_time"
 		}
 		if limit > 0 && now.Sub(c.started)-time.Duration(since) > limit {
@@ -109,7 +108,7 @@
 	}
 }
 
-// headerBytes is about how many bytes a request's header had on the wire.
+// headerBytes returns the approximate size of a request's header on the wire.
 func headerBytes(request *http.Request) int {
 	size := len(request.Method) + len(request.RequestURI) + len(request.Proto) + len(request.Host)
 	for name, values := range request.Header {
@@ -120,13 +119,13 @@
 	return size
 }
 
-// unknownRoundTrip is taken where the system does not tell the round trip.
+// unknownRoundTrip is assumed where the operating system does not report the round-trip time.
 const unknownRoundTrip = 6 * time.Millisecond
 
-// away returns how long before a request came in its client began to wait, and
-// how long the answer takes: half a round trip each, and a whole one more for the
-// first request of a connection, which the client had to open.
-func (c *clientConnection) away() time.Duration {
+// networkDelay returns the part of the client's waiting time that is spent on the network:
+// half a round trip for the request and half for the response, and one more for the first
+// request of a connection, since the client had to open it.
+func (c *clientConnection) networkDelay() time.Duration {
 	roundTrip := roundTripOf(c.conn)
 	if c.served.Add(1) == 1 {
 		return 2 * roundTrip
@@ -134,7 +133,7 @@
 	return roundTrip
 }
 
-// roundTripOf returns the kernel's estimate of a connection's round trip.
+// roundTripOf returns the kernel's estimate of a connection's round-trip time.
 func roundTripOf(conn net.Conn) time.Duration {
 	raw, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/gateway/departing_site_test.go
+++ b/internal/gateway/departing_site_test.go
@@ -35,11 +35,11 @@
 	departingLosses    = 2
 	departingRouters   = 5
 	departingHeartbeat = 200 * time.Millisecond
-	departingPace      = 5 * time.Millisecond
-	departingPatience  = 40 * time.Second
+	requestInterval    = 5 * time.Millisecond
+	eventuallyTimeout  = 40 * time.Second
 )
 
-// departingSite is directory nodes, routers, servers and clients, all of them in this process.
+// departingSite runs directory nodes, routers, servers and clients in this process.
 type departingSite struct {
 	t       *testing.T
 	nodes   []*departingNode
@@ -47,16 +47,17 @@
 	ctx     context.Context
 }
 
-// departingNode is a directory node behind a link, on a disk, whose calls can be held up.
+// departingNode is a directory node with a controllable link and disk, whose calls can be
+// paused.
 type departingNode struct {
 	*directory.Node
 	link *testlink.Link
 	disk faultydisk.Disk
-	// paused holds calls up until it is closed; nil for not at all.
+	// paused blocks calls until it is closed; nil while calls are not paused.
 	paused atomic.Pointer[chan struct{}]
 }
 
-// ServeHTTP passes calls on to the node.
+// ServeHTTP passes calls on to the node, once it is not paused.
 func (n *departingNode) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if paused := n.paused.Load(); paused != nil {
 		select {
@@ -131,7 +132,7 @@
 	return logger
 }
 
-// install puts a document with one route in force at all routers.
+// install publishes a document with one route and waits until all routers are ready.
 func (s *departingSite) install() {
 	text, err := json.Marshal(&routing.Document{
 		Version: 1, Services: []routing.Service{{Name: "s"}},
@@ -141,7 +142,7 @@
 		}},
 	})
 	require.NoError(s.t, err)
-	s.eventually("no node takes the document", func() bool { return s.nodes[0].Put(s.ctx, text) == nil })
+	s.eventually("no node accepts the document", func() bool { return s.nodes[0].Put(s.ctx, text) == nil })
 	for _, router := range s.routers {
 		s.eventually("a router is not ready", router.Ready)
 	}
@@ -149,7 +150,7 @@
 
 func (s *departingSite) eventually(message string, holds func() bool) {
 	s.t.Helper()
-	require.Eventually(s.t, holds, departingPatience, 10*time.Millisecond, message)
+	require.Eventually(s.t, holds, eventuallyTimeout, 10*time.Millisecond, message)
 }
 
 // sendRequests sends requests to the router at an address until the site ends.
@@ -166,7 +167,7 @@
 			_, _ = io.Copy(io.Discard, response.Body)
 			_ = response.Body.Close()
 		}
-		time.Sleep(departingPace)
+		time.Sleep(requestInterval)
 	}
 }
 
@@ -174,23 +175,24 @@
 type departingServer struct {
 	instance registry.Instance
 	server   *http.Server
-	// acknowledged is when its departure was, Unix ns; 0 before. latest is how long after it a
-	// request came last, ns, afterDeparture counts those that came after it, and arrivals all.
+	// acknowledged is when its departure was acknowledged, in Unix ns; 0 before. latestRequest
+	// is how long after that the last request arrived, in ns. afterDeparture counts the
+	// requests that arrived after it, arrivals all requests.
 	acknowledged   atomic.Int64
-	latest         atomic.Int64
+	latestRequest  atomic.Int64
 	afterDeparture atomic.Int64
 	arrivals       atomic.Int64
-	// connections are those that are open.
-	connections atomic.Int64
-	silent      atomic.Bool
-	leaving     atomic.Bool
-	sequence    atomic.Uint64
+	// connections counts the open connections.
+	connections       atomic.Int64
+	heartbeatsStopped atomic.Bool
+	leaving           atomic.Bool
+	sequence          atomic.Uint64
 }
 
-// ServeHTTP answers as a sound server does, and notes when requests come.
+// ServeHTTP answers as a healthy server does, and records when requests arrive.
 func (d *departingServer) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	writer.Header().Set("X-Id", request.Header.Get("X-Id"))
-	// What calls a server names it, not its start.
+	// Calls name the server, not its start.
 	if registry.NameOf(request.Header.Get("X-Meant")) != registry.NameOf(d.instance.ID) {
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
@@ -198,12 +200,12 @@
 	d.arrivals.Add(1)
 	if at := d.acknowledged.Load(); at > 0 {
 		d.afterDeparture.Add(1)
-		d.noteLatest(time.Now().UnixNano() - at)
+		d.recordLatest(time.Now().UnixNano() - at)
 	}
 	writer.Header().Set("X-Stamp", "of-"+d.instance.ID)
 }
 
-func (d *departingServer) noteConnection(_ net.Conn, state http.ConnState) {
+func (d *departingServer) countConnection(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
 		d.connections.Add(1)
@@ -212,50 +214,50 @@
 	}
 }
 
-func (d *departingServer) noteLatest(after int64) {
+func (d *departingServer) recordLatest(after int64) {
 	for {
-		known := d.latest.Load()
-		if after <= known || d.latest.CompareAndSwap(known, after) {
+		known := d.latestRequest.Load()
+		if after <= known || d.latestRequest.CompareAndSwap(known, after) {
 			return
 		}
 	}
 }
 
 // addServer starts a server that announces itself to nodes drawn from a seed.
-func (s *departingSite) addServer(name string, born int64, seed uint64) *departingServer {
+func (s *departingSite) addServer(name string, startTime int64, seed uint64) *departingServer {
 	listener, err := net.Listen("tcp4", testaddress.Next().String())
 	require.NoError(s.t, err)
-	return s.serve(listener, name, born, seed)
+	return s.serve(listener, name, startTime, seed)
 }
 
-// serve is addServer at a listener.
-func (s *departingSite) serve(listener net.Listener, name string, born int64, seed uint64) *departingServer {
+// serve is addServer with a given listener.
+func (s *departingSite) serve(listener net.Listener, name string, startTime int64, seed uint64) *departingServer {
 	added := &departingServer{instance: registry.Instance{
-		ID: registry.LifeID(name, born), Born: born, Service: "s", Address: listener.Addr().String(), Slots: 8, State: registry.Ready,
+		ID: registry.LifeID(name, startTime), Born: startTime, Service: "s", Address: listener.Addr().String(), Slots: 8, State: registry.Ready,
 	}}
-	added.server = &http.Server{Handler: added, ConnState: added.noteConnection}
+	added.server = &http.Server{Handler: added, ConnState: added.countConnection}
 	go func() { _ = added.server.Serve(listener) }()
 	s.t.Cleanup(func() { _ = added.server.Close() })
 	go s.announce(added, rand.New(rand.NewPCG(seed, 1)))
 	return added
 }
 
-// announce sends heartbeats, to the same node as long as it takes them.
+// announce sends heartbeats, to the same node for as long as it accepts them.
 func (s *departingSite) announce(server *departingServer, random *rand.Rand) {
 	node := random.IntN(departingNodes)
 	for s.ctx.Err() == nil {
-		if !server.silent.Load() {
-			beat := server.instance
-			beat.Sequence = server.sequence.Add(1)
+		if !server.heartbeatsStopped.Load() {
+			heartbeat := server.instance
+			heartbeat.Sequence = server.sequence.Add(1)
 			if server.leaving.Load() {
-				beat.State = registry.Leaving
+				heartbeat.State = registry.Leaving
 			}
-			calling, cancel := context.WithTimeout(s.ctx, time.Second)
-			err := s.call(calling, node, func(ctx context.Context, n *directory.Node) error { return n.Heartbeat(ctx, beat) })
+			callCtx, cancel := context.WithTimeout(s.ctx, time.Second)
+			err := s.call(callCtx, node, func(ctx context.Context, n *directory.Node) error { return n.Heartbeat(ctx, heartbeat) })
 			cancel()
 			if err != nil {
 				node = random.IntN(departingNodes)
-			} else if beat.State == registry.Leaving {
+			} else if heartbeat.State == registry.Leaving {
 				server.acknowledged.CompareAndSwap(0, time.Now().UnixNano())
 			}
 		}
@@ -263,7 +265,7 @@
 	}
 }
 
-// call calls a node as a server does, unless it is paused.
+// call calls a node as a server does, once the node is not paused.
 func (s *departingSite) call(ctx context.Context, node int, do func(context.Context, *directory.Node) error) error {
 	if paused := s.nodes[node].paused.Load(); paused != nil {
 		select {
--- a/internal/gateway/departures_property_test.go
+++ b/internal/gateway/departures_property_test.go
@@ -21,49 +21,49 @@
 )
 
 const (
-	// departureBound is the shortest drain time of any deployment: by then the last request has
-	// reached a server whose departure was acknowledged.
+	// departureBound is the shortest drain time of any deployment. By then the last request
+	// must have reached a server whose departure was acknowledged.
 	departureBound = 3 * time.Second
-	// departureLife is for how long a server serves after its departure.
-	departureLife = 4500 * time.Millisecond
-	// disturbedFor is for how long nodes are slow.
-	disturbedFor = 7 * time.Second
-	// slowWrite is what a write takes on a slow disk.
+	// servingAfterDeparture is how long a server keeps serving after its departure.
+	servingAfterDeparture = 4500 * time.Millisecond
+	// faultDuration is how long faults of nodes last.
+	faultDuration = 7 * time.Second
+	// slowWrite is the duration of a write on a slow disk.
 	slowWrite = 1500 * time.Millisecond
 )
 
-// wayToLeave is one in which a server leaves.
-type wayToLeave string
+// departureMethod is how a server leaves.
+type departureMethod string
 
 const (
-	leavesDraining wayToLeave = "says draining in its heartbeats"
-	leavesReady    wayToLeave = "deregisters and goes on with ready"
-	leavesSilent   wayToLeave = "deregisters and is silent"
+	reportsDraining       departureMethod = "reports draining in its heartbeats"
+	deregistersThenReady  departureMethod = "deregisters and keeps reporting ready"
+	deregistersThenSilent departureMethod = "deregisters and sends no more heartbeats"
 )
 
-var waysToLeave = []wayToLeave{leavesDraining, leavesReady, leavesSilent}
+var departureMethods = []departureMethod{reportsDraining, deregistersThenReady, deregistersThenSilent}
 
-// slowness of a directory node.
-type slowness string
+// nodeFault is a fault that makes a directory node slow.
+type nodeFault string
 
 const (
-	diskStalls slowness = "disk stalls"
-	diskSlow   slowness = "disk is slow"
-	linkSilent slowness = "link is silent"
-	paused     slowness = "is paused"
+	diskStalls       nodeFault = "disk stalls"
+	diskSlow         nodeFault = "disk is slow"
+	linkDropsTraffic nodeFault = "link drops traffic"
+	nodePaused       nodeFault = "is paused"
 )
 
-var slownesses = []slowness{diskStalls, diskSlow, linkSilent, paused}
+var nodeFaults = []nodeFault{diskStalls, diskSlow, linkDropsTraffic, nodePaused}
 
-// disturb makes a node slow until the returned function is called.
-func (n *departingNode) disturb(kind slowness) (heal func()) {
+// injectFault makes a node slow until the returned function is called.
+func (n *departingNode) injectFault(kind nodeFault) (heal func()) {
 	switch kind {
 	case diskStalls:
 		return n.disk.Stall()
 	case diskSlow:
 		n.disk.Slow(slowWrite)
 		return func() { n.disk.Slow(0) }
-	case linkSilent:
+	case linkDropsTraffic:
 		n.link.Silence(true)
 		return func() {
 			n.link.Silence(false)
@@ -78,26 +78,27 @@
 	}
 }
 
-// TestRequestReachesADepartedServer guards against requests that reach a server later than the
-// shortest drain time after its departure was acknowledged, whichever nodes are slow, in which
-// way, and however the server leaves; and against leaving out the server's next start.
-func TestRequestReachesADepartedServer(t *testing.T) {
+// TestNoRequestReachesADepartedServer guards against requests that reach a server later than
+// the shortest drain time after its departure was acknowledged, whichever nodes are slow, for
+// whatever reason, and however the server leaves. It also guards against ignoring the server's
+// next start.
+func TestNoRequestReachesADepartedServer(t *testing.T) {
 	for offset := range uint64(*departuresSites) {
 		seed := *departuresSeed + offset
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			playDepartures(t, seed)
+			checkDepartures(t, seed)
 		})
 	}
 }
 
-func playDepartures(t *testing.T, seed uint64) {
+func checkDepartures(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, seed))
 	s := startDepartingSite(t)
 	s.install()
 	kept := s.addServer("kept", 0, seed)
 	var leaving []*departingServer
-	for number := range 2 * len(waysToLeave) {
+	for number := range 2 * len(departureMethods) {
 		leaving = append(leaving, s.addServer(fmt.Sprint("i", number), int64(number%2)*1700, seed+uint64(number)))
 	}
 	for _, server := range append(leaving, kept) {
@@ -106,21 +107,21 @@
 	defer s.slowTwoNodes(random)()
 	time.Sleep(time.Duration(random.IntN(500)) * time.Millisecond)
 	for number, server := range leaving {
-		way := waysToLeave[number%len(waysToLeave)]
-		t.Logf("%s %s", server.instance.ID, way)
-		go s.leave(server, way, rand.New(rand.NewPCG(seed, uint64(number))))
+		method := departureMethods[number%len(departureMethods)]
+		t.Logf("%s %s", server.instance.ID, method)
+		go s.leave(server, method, rand.New(rand.NewPCG(seed, uint64(number))))
 	}
 	for _, server := range leaving {
 		s.eventually("a departure is not acknowledged", func() bool { return server.acknowledged.Load() > 0 })
 	}
-	time.Sleep(departureLife)
+	time.Sleep(servingAfterDeparture)
 	for _, server := range leaving {
-		latest := time.Duration(server.latest.Load())
+		latest := time.Duration(server.latestRequest.Load())
 		require.LessOrEqual(t, latest, departureBound, "a request reached %s", server.instance.ID)
 		t.Logf("%s: %d requests, the last one %s after the acknowledgement", server.instance.ID, server.arrivals.Load(), latest)
 	}
 	for number, server := range leaving {
-		server.silent.Store(true)
+		server.heartbeatsStopped.Store(true)
 		if server.instance.Born > 0 {
 			next := s.addServer(registry.NameOf(server.instance.ID), server.instance.Born-1, seed+uint64(number))
 			s.eventually("the next start of a server gets no requests", func() bool { return next.arrivals.Load() > 0 })
@@ -128,24 +129,24 @@
 	}
 }
 
-// leave has a server leave in one way.
-func (s *departingSite) leave(server *departingServer, way wayToLeave, random *rand.Rand) {
-	if way == leavesDraining {
+// leave makes a server leave by the given method.
+func (s *departingSite) leave(server *departingServer, method departureMethod, random *rand.Rand) {
+	if method == reportsDraining {
 		server.leaving.Store(true)
 		return
 	}
-	server.silent.Store(way == leavesSilent)
-	born := lo.Ternary(random.IntN(2) == 0, server.instance.Born, 0)
-	s.deregister(server, born, random)
+	server.heartbeatsStopped.Store(method == deregistersThenSilent)
+	startTime := lo.Ternary(random.IntN(2) == 0, server.instance.Born, 0)
+	s.deregister(server, startTime, random)
 }
 
-// deregister tells nodes that a server leaves, by a time of start or with 0 by none, until one
+// deregister deregisters a server, with a start time or with 0 for none, until a node
 // acknowledges it.
-func (s *departingSite) deregister(server *departingServer, born int64, random *rand.Rand) {
+func (s *departingSite) deregister(server *departingServer, startTime int64, random *rand.Rand) {
 	for s.ctx.Err() == nil && server.acknowledged.Load() == 0 {
-		calling, cancel := context.WithTimeout(s.ctx, time.Second)
-		err := s.call(calling, random.IntN(departingNodes), func(ctx context.Context, n *directory.Node) error {
-			return n.Depart(ctx, registry.NameOf(server.instance.ID), born)
+		callCtx, cancel := context.WithTimeout(s.ctx, time.Second)
+		err := s.call(callCtx, random.IntN(departingNodes), func(ctx context.Context, n *directory.Node) error {
+			return n.Depart(ctx, registry.NameOf(server.instance.ID), startTime)
 		})
 		cancel()
 		if err == nil {
--- a/internal/gateway/directory_stub_test.go
+++ b/internal/gateway/directory_stub_test.go
@@ -14,25 +14,25 @@
 	"github.com/martenstage/martenstage/internal/registry"
 )
 
-// directoryStub answers routers with what a test set.
+// directoryStub is a directory node whose replies a test sets.
 type directoryStub struct {
 	mutex sync.Mutex
 	reply directory.FollowReply
-	// book holds the requests that end servers; refuses makes orders about them fail,
-	// refusesReports just reports.
-	book           quarantine.Book
-	refuses        bool
-	refusesReports bool
-	orders         []quarantine.Order
-	// ledger is what tenants spend; nil while no leader is reached. metered are those whose
-	// requests each need a token.
+	// quarantineTable holds the requests that crash servers. refusesOrders makes all orders
+	// about them fail, refusesReports only reports.
+	quarantineTable quarantine.Book
+	refusesOrders   bool
+	refusesReports  bool
+	orders          []quarantine.Order
+	// ledger is the spending of tenants; nil while no leader is reachable. metered are the
+	// tenants that need a token for each request.
 	ledger  *quota.Ledger
 	metered []string
-	// down has the directory answer routers' calls for news with a failure.
+	// down makes follow requests fail.
 	down bool
-	// calls counts the calls for news and probes.
+	// calls counts follow requests and probes.
 	calls atomic.Int64
-	// observed is what the router told last of roll-outs.
+	// observed is the last rollout report of the router.
 	observed directory.RolloutReport
 }
 
@@ -52,8 +52,8 @@
 		d.serveQuota(writer, request)
 		return
 	}
-	var asked directory.FollowRequest
-	_ = json.NewDecoder(request.Body).Decode(&asked)
+	var follow directory.FollowRequest
+	_ = json.NewDecoder(request.Body).Decode(&follow)
 	d.calls.Add(1)
 	d.mutex.Lock()
 	if d.down {
@@ -62,69 +62,69 @@
 		return
 	}
 	reply := d.reply
-	reply.Quarantine, reply.QuarantineEntries = d.book.Revision, d.book.Entries()
+	reply.Quarantine, reply.QuarantineEntries = d.quarantineTable.Revision, d.quarantineTable.Entries()
 	if len(d.metered) > 0 {
 		reply.Metered, reply.MeteredDigest = d.metered, 1
 	}
 	d.mutex.Unlock()
 	reply.RouterCount = max(1, reply.RouterCount)
-	if reply.Version <= asked.Version {
+	if reply.Version <= follow.Version {
 		reply.Version, reply.Document = 0, nil
 		time.Sleep(20 * time.Millisecond)
 	}
 	_ = json.NewEncoder(writer).Encode(reply)
 }
 
-// serveQuota takes in what a router spent and wants.
+// serveQuota handles a router's report of spending and its requests for tokens.
 func (d *directoryStub) serveQuota(writer http.ResponseWriter, request *http.Request) {
-	var told quota.Message
-	_ = json.NewDecoder(request.Body).Decode(&told)
+	var message quota.Message
+	_ = json.NewDecoder(request.Body).Decode(&message)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.ledger == nil {
 		http.Error(writer, "no leader", http.StatusServiceUnavailable)
 		return
 	}
-	_ = json.NewEncoder(writer).Encode(d.ledger.Take(time.Now(), told))
+	_ = json.NewEncoder(writer).Encode(d.ledger.Take(time.Now(), message))
 }
 
-// serveOrders carries out orders about requests that end servers.
+// serveOrders handles orders about requests that crash servers.
 func (d *directoryStub) serveOrders(writer http.ResponseWriter, request *http.Request) {
-	var asked directory.QuarantineOrders
-	_ = json.NewDecoder(request.Body).Decode(&asked)
+	var batch directory.QuarantineOrders
+	_ = json.NewDecoder(request.Body).Decode(&batch)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	reports := slices.ContainsFunc(asked.Orders, func(o quarantine.Order) bool { return o.Kind == quarantine.Report })
-	if d.refuses || d.refusesReports && reports {
+	reports := slices.ContainsFunc(batch.Orders, func(o quarantine.Order) bool { return o.Kind == quarantine.Report })
+	if d.refusesOrders || d.refusesReports && reports {
 		http.Error(writer, "no leader", http.StatusServiceUnavailable)
 		return
 	}
 	var reply directory.QuarantineReply
-	for _, order := range asked.Orders {
-		reply.Outcomes = append(reply.Outcomes, d.book.Apply(order))
+	for _, order := range batch.Orders {
+		reply.Outcomes = append(reply.Outcomes, d.quarantineTable.Apply(order))
 	}
-	d.orders = append(d.orders, asked.Orders...)
-	reply.Revision = d.book.Revision
+	d.orders = append(d.orders, batch.Orders...)
+	reply.Revision = d.quarantineTable.Revision
 	_ = json.NewEncoder(writer).Encode(reply)
 }
 
-// give carries out orders of a test's own.
-func (d *directoryStub) give(orders ...quarantine.Order) {
+// applyOrders applies orders of the test itself.
+func (d *directoryStub) applyOrders(orders ...quarantine.Order) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, order := range orders {
-		d.book.Apply(order)
+		d.quarantineTable.Apply(order)
 	}
 }
 
-// records returns the requests that end servers.
+// records returns the requests that crash servers.
 func (d *directoryStub) records() []quarantine.Record {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return slices.Clone(d.book.Records)
+	return slices.Clone(d.quarantineTable.Records)
 }
 
-// addServer makes the stub tell of a server.
+// addServer adds a server to the stub's replies.
 func (d *directoryStub) addServer(id, service, zone, address string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,18 +1,18 @@
-// Package gateway runs a router of a site whose servers announce themselves: it
-// takes the requests of clients, lets package scatter decide, and sends attempts
-// by package exchange. What routes and servers there are it follows from the
-// directory nodes.
+// Package gateway implements the router of a site whose servers announce
+// themselves. It accepts the requests of clients, leaves routing decisions to
+// package scatter, and sends attempts by package exchange. Routes and servers
+// are read from the directory nodes.
 //
-// One goroutine each:
+// Goroutines:
 //
-//	engine      owns the scatter engine; events come in by a bounded channel
-//	follower    holds a call at one directory node, and goes on to the next one
-//	            when that fails
-//	reports     tells the directory of requests that end servers, again until a node
-//	            has it
+//	engine      owns the scatter engine; events arrive on a buffered channel
+//	follower    long-polls one directory node, and switches to another one when
+//	            that fails
+//	reports     reports requests that crash servers to the directory, and resends
+//	            each report until a node accepts it
 //	request     one for each request, of net/http
-//	attempt     one for each attempt that is out
+//	attempt     one for each attempt in flight
 //
-// A router that knows no document answers 503. One that loses the directory goes
-// on under the last document; it never goes back to an older one.
+// A router without a document answers 503. A router that loses the directory
+// keeps using its last document, and never returns to an older one.
 package gateway
--- a/internal/gateway/evacuating.go
+++ b/internal/gateway/evacuating.go
@@ -10,41 +10,40 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// Times of moving requests out of a zone that is evacuated, and back.
+// Times of moving requests out of an evacuated zone and back.
 const (
-	// evacuationPart of the time within which nothing may go to an evacuated zone any
-	// more is taken for its services to leave one after the other; the rest is for the
-	// order to come here.
-	evacuationPart = 0.4
-	// evacuationStep is how often routers work out anew who gathers meanwhile.
-	evacuationStep = 200 * time.Millisecond
+	// evacuationShare is the part of Config.EvacuateWithin over which the services of an
+	// evacuated zone are moved one after the other; the rest is for the order to reach this
+	// router.
+	evacuationShare = 0.4
+	// evacuationInterval is how often routers recompute the gatherers during an evacuation.
+	evacuationInterval = 200 * time.Millisecond
 )
 
-// takeEvacuations takes in which zones are evacuated. A router that heard nothing for a
-// while, or that heard it from another node, can't tell how old the order is, and carries
-// it out at once.
-func (f *follower) takeEvacuations(reply directory.FollowReply, regained bool) {
+// applyEvacuations applies the set of evacuated zones. A router that has just reconnected or
+// changed its directory node can't tell how old the order is, and applies it at once.
+func (f *follower) applyEvacuations(reply directory.FollowReply, reconnected bool) {
 	now := steadyclock.Now()
 	newer := reply.Evacuations > f.request.Evacuations
 	if newer {
-		over := time.Duration(evacuationPart * float64(f.gateway.config.EvacuateWithin))
-		if regained || reply.Whole {
-			over = 0
+		duration := time.Duration(evacuationShare * float64(f.gateway.config.EvacuateWithin))
+		if reconnected || reply.Whole {
+			duration = 0
 		}
 		f.request.Evacuations = reply.Evacuations
-		f.evacuated = f.evacuated.Take(now, reply.Evacuated, over)
-		f.tellEvacuated(reply.Evacuations, over)
+		f.evacuated = f.evacuated.Take(now, reply.Evacuated, duration)
+		f.logEvacuations(reply.Evacuations, duration)
 	}
-	if newer || f.moving {
+	if newer || f.evacuating {
 		f.gateway.peers.setEvacuated(f.evacuated)
 		f.gateway.loop.events <- scatter.ZonesEvacuated{View: f.evacuated}
 	}
-	f.moving = f.evacuated.Moving(now)
+	f.evacuating = f.evacuated.Moving(now)
 }
 
-// tellEvacuated logs and counts the zones that are evacuated.
-func (f *follower) tellEvacuated(revision uint64, over time.Duration) {
+// logEvacuations logs the evacuated zones and updates their metric.
+func (f *follower) logEvacuations(revision uint64, duration time.Duration) {
 	zones := f.evacuated.Zones()
 	f.gateway.metrics.evacuated.Set(float64(len(zones)))
-	f.gateway.logger.WithFields(logrus.Fields{"revision": revision, "zones": zones, "over": over}).Info("evacuations_changed")
+	f.gateway.logger.WithFields(logrus.Fields{"revision": revision, "zones": zones, "over": duration}).Info("evacuations_changed")
 }
--- a/internal/gateway/evidence.go
+++ b/internal/gateway/evidence.go
@@ -12,99 +12,100 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// evidence is what the attempts of one request show of whether it ends its servers. It is
-// safe for concurrent use.
+// evidence collects what the attempts of one request show of whether the request crashes its
+// servers. It is safe for concurrent use.
 type evidence struct {
 	route  string
 	caller string
-	// replied says that a server answered, reported that one was reported to have ended.
+	// replied is set once a server has answered, reported once a crash has been reported.
 	replied  atomic.Bool
 	reported atomic.Bool
-	// trial receives what became of the one attempt of a trial; nil for no trial. It has
-	// room for it.
-	trial chan trialEnd
+	// trial receives the outcome of the single attempt of a trial, and is buffered for it; nil
+	// for no trial.
+	trial chan trialOutcome
 }
 
-// trialEnd is what became of a trial's attempt.
-type trialEnd uint8
+// trialOutcome is the outcome of a trial's attempt.
+type trialOutcome uint8
 
 const (
-	// trialUnclear: the server gave no answer, and goes on.
-	trialUnclear trialEnd = iota
+	// trialInconclusive: the server gave no answer but is still running.
+	trialInconclusive trialOutcome = iota
 	trialAnswered
-	trialEnded
+	trialServerCrashed
 )
 
-// sentAttempt is an attempt that has ended, as evidence.
-type sentAttempt struct {
-	waiting submitted
-	server  scatter.Server
-	outcome scatter.Outcome
-	took    time.Duration
+// endedAttempt is the result of an attempt, used as evidence.
+type endedAttempt struct {
+	submitted submission
+	server    scatter.Server
+	outcome   scatter.Outcome
+	took      time.Duration
 }
 
-// observe takes in what an attempt shows. An attempt that broke off is evidence only if its
-// server has ended since: answers are lost for other reasons as well. It may wait for a
-// connection, and is called by the goroutine of the attempt.
-func (g *Gateway) observe(sent sentAttempt) {
-	shown := sent.waiting.evidence
-	end := trialUnclear
-	switch failure := sent.outcome.Failure; failure {
+// observe evaluates an attempt that has ended. A broken attempt is evidence only if its server
+// has stopped since, because answers are lost for other reasons as well. It may wait for a
+// connection to the server, and is called from the goroutine of the attempt.
+func (g *Gateway) observe(attempt endedAttempt) {
+	evidence := attempt.submitted.evidence
+	outcome := trialInconclusive
+	switch failure := attempt.outcome.Failure; failure {
 	case scatter.NoFailure:
-		end = trialAnswered
-		g.observeAnswer(sent)
+		outcome = trialAnswered
+		g.observeAnswer(attempt)
 	case scatter.Broken, scatter.Unaccepted:
-		g.tellBroken(sent)
-		if g.pool.HasEnded(sent.server, failure == scatter.Unaccepted) {
-			end = trialEnded
-			g.observeEnd(sent)
+		g.logBrokenAttempt(attempt)
+		if g.pool.HasEnded(attempt.server, failure == scatter.Unaccepted) {
+			outcome = trialServerCrashed
+			g.observeCrash(attempt)
 		}
 	}
-	if shown.trial != nil && sent.outcome.Verdict != verdict.NotRun {
-		shown.trial <- end
+	if evidence.trial != nil && attempt.outcome.Verdict != verdict.NotRun {
+		evidence.trial <- outcome
 	}
 }
 
-// tellBroken logs that the connection of an attempt ended before its answer was whole, so
-// that two presentations of one request show as such.
-func (g *Gateway) tellBroken(sent sentAttempt) {
-	leftOut, tells := g.breaks.Take(steadyclock.Now())
-	if !tells {
+// logBrokenAttempt logs that the connection of an attempt ended before its answer was
+// complete, so that the log shows when a request has been sent twice.
+func (g *Gateway) logBrokenAttempt(attempt endedAttempt) {
+	omitted, allowed := g.brokenAttemptLines.Take(steadyclock.Now())
+	if !allowed {
 		return
 	}
 	g.logger.WithFields(logrus.Fields{
-		"request": sent.waiting.request.ID, "fingerprint": sent.waiting.request.fingerprint().Short(), "server": sent.server.ID,
-		"service": sent.server.Service, "failure": sent.outcome.Failure.String(), "took": sent.took, "left_out": leftOut,
+		"request": attempt.submitted.request.ID, "fingerprint": attempt.submitted.request.fingerprint().Short(), "server": attempt.server.ID,
+		"service": attempt.server.Service, "failure": attempt.outcome.Failure.String(), "took": attempt.took, "left_out": omitted,
 	}).Info("attempt_broke_off")
 }
 
-// observeAnswer takes in that a server answered a request.
-func (g *Gateway) observeAnswer(sent sentAttempt) {
-	shown := sent.waiting.evidence
-	if first := !shown.replied.Swap(true); first && (shown.reported.Load() || shown.trial != nil) {
-		g.quarantine.tell(quarantine.Order{Kind: quarantine.Clear, Fingerprint: sent.waiting.request.fingerprint(), By: g.config.Name})
+// observeAnswer records that a server answered a request.
+func (g *Gateway) observeAnswer(attempt endedAttempt) {
+	evidence := attempt.submitted.evidence
+	if first := !evidence.replied.Swap(true); first && (evidence.reported.Load() || evidence.trial != nil) {
+		g.quarantine.enqueue(quarantine.Order{Kind: quarantine.Clear, Fingerprint: attempt.submitted.request.fingerprint(), By: g.config.Name})
 	}
 }
 
-// observeEnd takes in that a server ended under a request. One that another server has answered
-// is not reported: it does not end each server that runs it.
-func (g *Gateway) observeEnd(sent sentAttempt) {
-	shown := sent.waiting.evidence
+// observeCrash records that a server stopped while it ran a request. The crash is not reported
+// if another server has answered the request, since the request does not crash every server
+// that runs it.
+func (g *Gateway) observeCrash(attempt endedAttempt) {
+	evidence := attempt.submitted.evidence
 	g.metrics.serversEnded.Inc()
-	fingerprint := sent.waiting.request.fingerprint()
-	if leftOut, tells := g.endings.Take(steadyclock.Now()); tells {
+	fingerprint := attempt.submitted.request.fingerprint()
+	if omitted, allowed := g.crashLines.Take(steadyclock.Now()); allowed {
 		g.logger.WithFields(logrus.Fields{
-			"fingerprint": fingerprint.Short(), "request": sent.waiting.request.ID, "route": shown.route, "caller": shown.caller,
-			"server": sent.server.ID, "service": sent.server.Service, "took": sent.took, "trial": shown.trial != nil,
-			"answered_elsewhere": shown.replied.Load(), "left_out": leftOut,
+			"fingerprint": fingerprint.Short(), "request": attempt.submitted.request.ID, "route": evidence.route, "caller": evidence.caller,
+			"server": attempt.server.ID, "service": attempt.server.Service, "took": attempt.took, "trial": evidence.trial != nil,
+			"answered_elsewhere": evidence.replied.Load(), "left_out": omitted,
 		}).Info("server_ended_under_request")
 	}
-	if shown.replied.Load() {
+	if evidence.replied.Load() {
 		return
 	}
-	shown.reported.Store(true)
+	evidence.reported.Store(true)
 	g.quarantine.report(quarantine.Order{
-		Kind: quarantine.Report, Fingerprint: fingerprint, Servers: []string{sent.server.ID}, Tried: shown.trial != nil,
-		Route: shown.route, Caller: shown.caller, By: g.config.Name,
+		Kind: quarantine.Report, Fingerprint: fingerprint, Servers: []string{attempt.server.ID}, Tried: evidence.trial != nil,
+		Route: evidence.route, Caller: evidence.caller, By: g.config.Name,
 	})
 }
--- a/internal/gateway/following.go
+++ b/internal/gateway/following.go
@@ -23,52 +23,53 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// Bounds of following.
+// Bounds of following a directory node.
 const (
 	followWait    = 700 * time.Millisecond
 	followTimeout = 1100 * time.Millisecond
 	followSpacing = 20 * time.Millisecond
-	// firstTimeout bounds the first call to a node, which is answered with all that
-	// it knows.
-	firstTimeout = 1500 * time.Millisecond
-	maxFollowed  = 64 << 20
-	// maxDepartures bounds the departures that are remembered of each kind, the latest ones.
+	// firstFollowTimeout bounds the first call to a node, which returns the node's complete
+	// state.
+	firstFollowTimeout = 1500 * time.Millisecond
+	maxReplyBytes      = 64 << 20
+	// maxDepartures bounds the remembered departures of each kind; the latest are kept.
 	maxDepartures = 50_000
 )
 
-// follower takes documents and servers over from the directory.
+// follower keeps documents and servers up to date from the directory.
 type follower struct {
 	gateway *Gateway
 	client  *http.Client
 	request directory.FollowRequest
-	// node is followed; empty while one is searched for.
-	node  string
-	nodes []string
-	lost  bool
-	// moved says that node was chosen anew and has not been asked yet.
-	moved bool
-	// nextLook is when a better node than one whose state is out of date is looked for again;
-	// staleTold says that the log has it that there is none.
-	nextLook  time.Time
-	staleTold bool
-	// followed is node, for others than the one goroutine that follows.
-	followed atomic.Pointer[string]
-	// known are all nodes, the one that is followed first, for others than that goroutine.
-	known atomic.Pointer[[]string]
-	// routerCount is how many routers there are, as last told.
+	// node is the followed directory node; empty while the router searches for one.
+	node         string
+	nodes        []string
+	disconnected bool
+	// switched is set when node has been replaced and the new node has not been called yet.
+	switched bool
+	// nextStaleSearch is when to search again for a better node while the state of the
+	// followed one is stale. staleLogged is set once the log states that there is none.
+	nextStaleSearch time.Time
+	staleLogged     bool
+	// followedNode is node, for other goroutines than the follower's.
+	followedNode atomic.Pointer[string]
+	// knownNodes are all nodes, the followed one first, for other goroutines than the
+	// follower's.
+	knownNodes atomic.Pointer[[]string]
+	// routerCount is the last reported number of routers.
 	routerCount int
-	// evacuated says which servers get nothing by an operator's order; moving that this
-	// still changes with time.
-	evacuated evacuation.View
-	moving    bool
-	// servers are the instances told to the engine, by id; departed say which are never told
-	// again.
+	// evacuated tells which servers get no requests by order of an operator. evacuating is set
+	// while that still changes with time.
+	evacuated  evacuation.View
+	evacuating bool
+	// servers are the instances passed to the engine, by id. departed are those that are never
+	// passed again.
 	servers  map[string]registry.Instance
 	departed *registry.Departures
 }
 
 func newFollower(gateway *Gateway) *follower {
-	dialer := &net.Dialer{Timeout: searchTimeout, KeepAlive: -1, Control: liveness.Bound(peerSilence)}
+	dialer := &net.Dialer{Timeout: searchTimeout, KeepAlive: -1, Control: liveness.Bound(peerAckTimeout)}
 	return &follower{
 		gateway: gateway,
 		client:  &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext}},
@@ -80,7 +81,7 @@
 func (f *follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := f.follow(ctx); err != nil && ctx.Err() == nil {
-			f.noteLost(err)
+			f.handleFollowFailure(err)
 			f.node = ""
 		}
 		select {
@@ -90,25 +91,25 @@
 	}
 }
 
-func (f *follower) noteLost(err error) {
+func (f *follower) handleFollowFailure(err error) {
 	f.gateway.metrics.followFailures.Inc()
-	if !f.lost {
+	if !f.disconnected {
 		f.gateway.logger.WithField("node", f.node).WithField("reason", err).Warn("directory_lost")
 	}
-	f.lost = true
-	f.gateway.quotas.lose()
+	f.disconnected = true
+	f.gateway.quotas.disconnect()
 }
 
-// follow asks the followed node for news, or searches for a node, and takes in what
-// was answered.
+// follow requests an update from the followed node, after searching for a node if there is
+// none, and applies the reply.
 func (f *follower) follow(ctx context.Context) error {
 	f.request.Router = directory.Router{
 		Name: f.gateway.config.Name, Zone: f.gateway.config.Zone, Address: f.gateway.config.PeerAddress, Identifies: true,
 		Stopping: f.gateway.stopping.Load(),
 	}
-	f.request.Seeds = f.seedsToName()
+	f.request.Seeds = f.seedsToSend()
 	f.request.Calls = f.gateway.shardCalls.perSecond(steadyclock.Now())
-	first := f.node == "" || f.moved
+	first := f.node == "" || f.switched
 	if f.node == "" {
 		node, err := f.search(ctx)
 		if err != nil {
@@ -116,62 +117,63 @@
 		}
 		f.node = node
 	}
-	asked := steadyclock.Now()
-	reply, err := f.askNews(ctx, first)
+	sentAt := steadyclock.Now()
+	reply, err := f.requestUpdate(ctx, first)
 	if err != nil {
 		return err
 	}
 	if err := f.checkGroup(reply.Group, f.node); err != nil {
 		return err
 	}
-	f.moved = false
+	f.switched = false
 	f.gateway.joinGroup(reply.Group, f.node)
-	regained := f.lost
-	if f.lost {
-		f.lost = false
+	reconnected := f.disconnected
+	if f.disconnected {
+		f.disconnected = false
 		f.gateway.logger.WithField("node", f.node).WithField("source", reply.Source).Info("directory_regained")
 	}
-	followed := f.node
-	f.followed.Store(&followed)
+	node := f.node
+	f.followedNode.Store(&node)
 	if reply.Fresh == nil {
-		f.gateway.confirmUntold()
+		f.gateway.confirmUnsupported()
 	}
-	taken := viewOf(f.node, asked, reply)
-	f.takeEvacuations(reply, regained)
-	f.takeIn(reply, taken)
-	f.takeView(taken)
+	newView := viewOf(f.node, sentAt, reply)
+	f.applyEvacuations(reply, reconnected)
+	f.applyReply(reply, newView)
+	f.updateView(newView)
 	if reply.Fresh != nil && f.request.Version >= reply.Version {
-		// The node got the call after it was sent, so that its word is at least that young.
-		f.gateway.confirm(asked.Add(*reply.Fresh))
+		// The node received the call after sentAt, so that the confirmed time is a lower
+		// bound.
+		f.gateway.confirm(sentAt.Add(*reply.Fresh))
 	}
-	f.setReachable(followed)
-	f.leaveStale(ctx, taken)
+	f.setNodesInOrder(node)
+	f.leaveStaleNode(ctx, newView)
 	return nil
 }
 
-// askNews asks the followed node for news. The first call to a node is answered at once, with all
-// that it knows.
-func (f *follower) askNews(ctx context.Context, first bool) (directory.FollowReply, error) {
+// requestUpdate requests an update from the followed node. The first call to a node returns at
+// once, with the node's complete state.
+func (f *follower) requestUpdate(ctx context.Context, first bool) (directory.FollowReply, error) {
 	if first {
 		f.request.Wait = 0
-		return f.post(ctx, f.node, f.request, firstTimeout)
+		return f.post(ctx, f.node, f.request, firstFollowTimeout)
 	}
 	f.request.Wait = followWait
-	if f.moving {
-		f.request.Wait = evacuationStep
+	if f.evacuating {
+		f.request.Wait = evacuationInterval
 	}
 	return f.post(ctx, f.node, f.request, followTimeout)
 }
 
-// post asks a node for news.
+// post sends a follow request to a node.
 func (f *follower) post(ctx context.Context, node string, request directory.FollowRequest, timeout time.Duration) (directory.FollowReply, error) {
 	var reply directory.FollowReply
 	err := f.call(ctx, node+directory.PathFollow, request, timeout, &reply)
 	return reply, err
 }
 
-// call posts a message to a node's address and path, and reads the reply into reply,
-// unless nil.
+// call posts a message to a target, which is a node's address and path, and decodes the reply
+// into reply unless it is nil.
 func (f *follower) call(ctx context.Context, target string, message any, timeout time.Duration, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -191,10 +193,10 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if err := addressee.Check(response, expected, false); err != nil {
-		f.gateway.noteAnswer(err)
+		f.gateway.recordMisdirectedAnswer(err)
 		return errors.Wrap(err, target)
 	}
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxFollowed))
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	switch {
 	case err != nil:
 		return err
@@ -206,13 +208,14 @@
 	return json.Unmarshal(answer, reply)
 }
 
-// nodesTried is how many nodes a report is sent to, one after the other, until one has it.
-const nodesTried = 2
+// maxNodesTried is how many nodes a report is sent to, one after the other, until one accepts
+// it.
+const maxNodesTried = 2
 
-// callEither posts a message to the node that is followed or, if that fails, to another.
-func (f *follower) callEither(ctx context.Context, path string, message any, timeout time.Duration, reply any) (err error) {
+// callAnyNode posts a message to the followed node or, if that fails, to another one.
+func (f *follower) callAnyNode(ctx context.Context, path string, message any, timeout time.Duration, reply any) (err error) {
 	err = errNoNode
-	for _, node := range lo.Slice(f.reachable(), 0, nodesTried) {
+	for _, node := range lo.Slice(f.nodesInOrder(), 0, maxNodesTried) {
 		if err = f.call(ctx, node+path, message, timeout, reply); err == nil {
 			return nil
 		}
@@ -220,24 +223,24 @@
 	return err
 }
 
-func (f *follower) takeIn(reply directory.FollowReply, from view) {
-	f.takeQuarantine(reply)
-	f.takeMetered(reply)
-	f.takeRollouts(reply)
-	f.tellDepartures(reply.Departed, from)
-	f.takeServers(reply)
-	f.takeDocument(reply)
+func (f *follower) applyReply(reply directory.FollowReply, from view) {
+	f.applyQuarantine(reply)
+	f.applyMetered(reply)
+	f.applyRollouts(reply)
+	f.logDepartures(reply.Departed, from)
+	f.applyServers(reply)
+	f.applyDocument(reply)
 	if len(reply.Nodes) > 0 {
 		f.nodes = reply.Nodes
 	}
-	f.takeRouters(reply)
+	f.applyRouters(reply)
 	f.request.Routers, f.request.Absent = reply.RoutersDigest, reply.AbsentDigest
 	f.request.Source, f.request.Revision, f.request.Departures = reply.Source, reply.Revision, reply.Departures
 }
 
-// takeRouters takes in how many routers there are, which ones, and who of them
-// asks which servers.
-func (f *follower) takeRouters(reply directory.FollowReply) {
+// applyRouters applies the number of routers, the list of routers and which of them are
+// absent, and recounts the gatherers of shards.
+func (f *follower) applyRouters(reply directory.FollowReply) {
 	gateway := f.gateway
 	if reply.RoutersDigest != f.request.Routers {
 		gateway.peers.setRouters(reply.Routers)
@@ -252,7 +255,7 @@
 	if reply.RouterCount != f.routerCount {
 		f.routerCount = reply.RouterCount
 		gateway.quotas.setRouters(reply.RouterCount)
-		gateway.peers.recount()
+		gateway.peers.invalidateCount()
 	}
 	table := gateway.table.Load()
 	if table == nil {
@@ -260,18 +263,18 @@
 	}
 	if counted, changed := gateway.peers.countGatherers(table.ShardLists(), reply.RouterCount); changed {
 		gateway.loop.events <- scatter.GatherersCounted{Gatherers: counted}
-		gateway.tellGatherers(reply.Calls, counted)
+		gateway.logGatherers(reply.Calls, counted)
 	}
 }
 
-func (f *follower) takeServers(reply directory.FollowReply) {
-	gone := f.takeDepartures(reply)
-	told := make(map[string]bool, len(reply.Instances))
+func (f *follower) applyServers(reply directory.FollowReply) {
+	removed := f.applyDepartures(reply)
+	listed := make(map[string]bool, len(reply.Instances))
 	var changed []scatter.Server
 	var instances []registry.Instance
 	now := steadyclock.Now()
 	for _, instance := range reply.Instances {
-		told[instance.ID] = true
+		listed[instance.ID] = true
 		if f.departed.Hold(instance) {
 			continue
 		}
@@ -280,38 +283,38 @@
 		instances = append(instances, instance)
 	}
 	if reply.Whole && reply.Settled {
-		gone = append(gone, lo.Reject(lo.Keys(f.servers), func(id string, _ int) bool { return told[id] })...)
+		removed = append(removed, lo.Reject(lo.Keys(f.servers), func(id string, _ int) bool { return listed[id] })...)
 	}
-	for _, id := range gone {
+	for _, id := range removed {
 		delete(f.servers, id)
 	}
-	f.gateway.peers.setServers(instances, gone)
+	f.gateway.peers.setServers(instances, removed)
 	if len(changed) > 0 {
 		f.gateway.loop.events <- scatter.ServersChanged{Servers: changed}
 	}
-	if len(gone) > 0 {
-		f.gateway.loop.events <- scatter.ServersGone{IDs: gone}
+	if len(removed) > 0 {
+		f.gateway.loop.events <- scatter.ServersGone{IDs: removed}
 	}
 }
 
-// takeDepartures takes in which servers left, and returns the ids of those that were known.
-func (f *follower) takeDepartures(reply directory.FollowReply) (gone []string) {
+// applyDepartures records the departed servers and returns the ids of those that were known.
+func (f *follower) applyDepartures(reply directory.FollowReply) (removed []string) {
 	for _, id := range reply.Departed {
 		f.departed.Add(id)
 	}
-	for _, left := range reply.DepartedNames {
-		f.departed.AddName(left)
-		f.request.DepartedNames = max(f.request.DepartedNames, left.Before)
+	for _, departure := range reply.DepartedNames {
+		f.departed.AddName(departure)
+		f.request.DepartedNames = max(f.request.DepartedNames, departure.Before)
 	}
 	if len(reply.Departed)+len(reply.DepartedNames) == 0 {
 		return nil
 	}
 	for id, known := range f.servers {
 		if f.departed.Hold(known) {
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
-	return gone
+	return removed
 }
 
 func toServer(now time.Time, instance registry.Instance) scatter.Server {
@@ -322,8 +325,8 @@
 	}
 }
 
-// takeDocument puts a newer document in force; an older one is never taken.
-func (f *follower) takeDocument(reply directory.FollowReply) {
+// applyDocument installs a newer document; an older one is never installed.
+func (f *follower) applyDocument(reply directory.FollowReply) {
 	if reply.Version <= f.request.Version {
 		return
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -21,7 +21,7 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// Gateway is one router.
+// Gateway is a router.
 type Gateway struct {
 	config  Config
 	logger  logrus.FieldLogger
@@ -29,79 +29,82 @@
 	started time.Time
 	seed    uint64
 	seeds   atomic.Pointer[[]string]
-	// knownGroup is that of the directory nodes, an addressee.Group; 0 until one told.
+	// knownGroup is the addressee.Group of the directory nodes; 0 until a node has reported
+	// it.
 	knownGroup atomic.Uint64
 	pool       *exchange.Pool
 	loop       *loop
 	table      atomic.Pointer[routing.Table]
-	// keySeed is that of the digests of keys, drawn at the start.
+	// keySeed seeds the digests of API keys; it is drawn at each start.
 	keySeed routing.KeySeed
-	// confirmed says since when the document in force is known to be the newest; nil as long
-	// as no node told.
+	// confirmed tells when the active document was last known to be the newest; nil until a
+	// node has reported it.
 	confirmed atomic.Pointer[confirmation]
-	// view says how old what the router knows of servers is; nil as long as no node told.
+	// view tells how old this router's knowledge of servers is; nil until a node has replied.
 	view     atomic.Pointer[view]
-	quotas   *quotaWatch
-	rollouts *rolloutWatch
+	quotas   *quotaLimiter
+	rollouts *rolloutMonitor
 	stopping atomic.Bool
-	// closing says that connections end with their next answer.
+	// closing is set when connections are to be closed after their next response.
 	closing atomic.Bool
-	// known is closed once there is a document.
-	known    chan struct{}
-	inFlight atomic.Int64
-	answers  atomic.Uint64
-	peers    *peers
-	slices   *sliceClient
-	claims   *claimBook
-	reach    *reach
-	follower *follower
-	// quarantine are the requests that end servers; breaks, endings and refusals bound the
-	// lines about attempts that broke off, servers that ended and requests refused for that.
-	quarantine *quarantineWatch
-	breaks     logging.LineLimit
-	endings    logging.LineLimit
-	refusals   logging.LineLimit
-	// tenantRefusals bounds the lines of requests refused for their key or limit.
-	tenantRefusals logging.LineLimit
-	// misdirected bounds the lines of calls that were meant for another process.
-	misdirected logging.LineLimit
-	clients     *clientConnections
-	// shardCalls is how often servers of shards are called, beyond repeats.
+	// documentKnown is closed once a document is installed.
+	documentKnown chan struct{}
+	inFlight      atomic.Int64
+	answers       atomic.Uint64
+	peers         *peers
+	slices        *sliceClient
+	claims        *claimTable
+	isolation     *isolationMonitor
+	follower      *follower
+	// quarantine tracks the requests that crash servers. The limits below bound the log lines
+	// about broken attempts, crashed servers and requests refused as quarantined.
+	quarantine             *quarantineMonitor
+	brokenAttemptLines     logging.LineLimit
+	crashLines             logging.LineLimit
+	quarantineRefusalLines logging.LineLimit
+	// tenantRefusalLines bounds the log lines about requests refused for their key or rate
+	// limit.
+	tenantRefusalLines logging.LineLimit
+	// misdirectedLines bounds the log lines about calls that reached the wrong process.
+	misdirectedLines logging.LineLimit
+	clients          *clientConnections
+	// shardCalls is the rate of calls to servers of shards, without hedges and retries.
 	shardCalls rate
-	// gatherersTold is what the log last said of who gathers; the one that follows owns it.
-	gatherersTold gathererCount
-	// doubts are routers that failed, to be told to the directory.
-	doubts chan string
-	// sliceLag is that of slices from other routers, answerLag that from the cut
-	// until an answer is written.
+	// loggedGatherers is the gatherer summary last logged. Only the follower's goroutine uses
+	// it.
+	loggedGatherers gathererSummary
+	// suspects are the names of failed routers to report to the directory.
+	suspects chan string
+	// sliceLag is the delay of slices from other routers, answerLag the time from the cutoff
+	// until the response is written.
 	sliceLag  lag
 	answerLag lag
 }
 
-// New returns a router that knows no document yet.
+// New returns a router without a document.
 func New(config Config, environment Environment) *Gateway {
 	gateway := &Gateway{
 		config: config, logger: environment.Logger.WithField(logging.FieldNode, config.Name),
 		metrics: newMetrics(environment.Registerer), started: steadyclock.Now(),
-		known: make(chan struct{}), doubts: make(chan string, doubtBacklog), claims: newClaimBook(), clients: newClientConnections(environment.Registerer),
+		documentKnown: make(chan struct{}), suspects: make(chan string, suspectBacklog), claims: newClaimTable(), clients: newClientConnections(environment.Registerer),
 		seed: xxhash.Sum64String(config.Name), pool: exchange.NewPool(config.Codec, environment.Registerer),
 	}
-	_, _ = rand.Read(gateway.keySeed[:]) // It never returns an error: without randomness the process ends.
+	_, _ = rand.Read(gateway.keySeed[:]) // crypto/rand.Read never returns an error; it ends the process if there is no randomness.
 	gateway.slices = newSliceClient(gateway.group)
-	gateway.rollouts = newRolloutWatch()
-	gateway.quotas = newQuotaWatch(gateway.seed ^ uint64(gateway.started.UnixNano()))
+	gateway.rollouts = newRolloutMonitor()
+	gateway.quotas = newQuotaLimiter(gateway.seed ^ uint64(gateway.started.UnixNano()))
 	gateway.peers = newPeers(slicing.Router{Name: config.Name, Zone: config.Zone, Address: config.PeerAddress})
-	gateway.reach = newReach(gateway)
+	gateway.isolation = newIsolationMonitor(gateway)
 	gateway.SetSeeds(config.Seeds)
 	engine := scatter.New(scatter.Config{Zone: config.Zone, Seed: gateway.seed ^ uint64(gateway.started.UnixNano()), Budget: config.Budget, Cold: config.Cold})
-	gateway.metrics.watchView(environment.Registerer, func() float64 { return gateway.viewAge(steadyclock.Now()).Seconds() })
-	gateway.loop = newLoop(engine, gateway.pool, loopPorts{claim: gateway.slices.claim, observe: gateway.observe, rollout: gateway.rollouts.observe}, gateway.logger)
-	gateway.quarantine = newQuarantineWatch(gateway.logger, gateway.metrics)
+	gateway.metrics.registerViewAge(environment.Registerer, func() float64 { return gateway.viewAge(steadyclock.Now()).Seconds() })
+	gateway.loop = newLoop(engine, gateway.pool, loopCallbacks{claim: gateway.slices.claim, observe: gateway.observe, rollout: gateway.rollouts.observe}, gateway.logger)
+	gateway.quarantine = newQuarantineMonitor(gateway.logger, gateway.metrics)
 	gateway.follower = newFollower(gateway)
 	return gateway
 }
 
-// SetSeeds replaces the seeds, after a reload of the settings.
+// SetSeeds replaces the seeds after a reload of the settings.
 func (g *Gateway) SetSeeds(seeds []string) {
 	copied := append([]string(nil), seeds...)
 	g.seeds.Store(&copied)
@@ -109,13 +112,13 @@
 
 func (g *Gateway) seedList() []string { return *g.seeds.Load() }
 
-// Ready reports whether the router wants new connections: it does not while it stops,
-// knows no document, is cut off from all other zones or can't tell whether keys still hold.
+// Ready reports whether the router accepts new connections. It does not while it stops, has no
+// document, is isolated from all other zones or can't confirm that keys are still valid.
 func (g *Gateway) Ready() bool {
-	return !g.stopping.Load() && g.table.Load() != nil && !g.reach.isolated.Load() && !g.keysLapsed()
+	return !g.stopping.Load() && g.table.Load() != nil && !g.isolation.isolated.Load() && !g.keysExpired()
 }
 
-// Version returns that of the document in force; 0 for none.
+// Version returns the version of the active document; 0 for none.
 func (g *Gateway) Version() uint64 {
 	table := g.table.Load()
 	if table == nil {
@@ -124,64 +127,63 @@
 	return table.Document().Version
 }
 
-// install puts a document in force.
+// install makes a document the active one.
 func (g *Gateway) install(document *routing.Document, from string) {
 	before := g.Version()
 	g.loop.events <- scatter.DocumentChanged{Services: document.Services}
 	g.setLimits(document)
 	if g.table.Swap(routing.NewTable(document, g.keySeed)) == nil {
-		close(g.known)
+		close(g.documentKnown)
 	}
-	g.peers.recount()
+	g.peers.invalidateCount()
 	g.metrics.version.Set(float64(document.Version))
 	g.logger.WithFields(logrus.Fields{
 		"version": document.Version, "before": before, "routes": len(document.Routes), "tenants": len(document.Tenants), "from": from,
 	}).Info("document_installed")
 }
 
-// Run serves clients until the context ends, which begins a planned stop: the
-// router is not ready at once, goes on serving until it gets no new connections,
-// ends each connection with its next answer and returns once all is answered, at
-// the latest within the grace.
+// Run serves clients until the context ends, which starts a planned stop: the router reports
+// not ready at once, serves until it gets no new connections, closes each connection after its
+// next response, and returns once all requests are answered or Config.Grace has passed.
 //
-// Other routers are served at the second listener; nil for none.
-func (g *Gateway) Run(stopping context.Context, clients, others net.Listener) error {
-	duties, end := context.WithCancel(context.Background())
-	defer end()
-	var running sync.WaitGroup
-	running.Go(func() { g.loop.run(duties) })
-	running.Go(func() { g.follower.run(duties) })
-	running.Go(func() { g.follower.tellDoubts(duties) })
-	running.Go(func() { g.follower.tellQuarantine(duties) })
-	running.Go(func() { g.follower.tellQuota(duties) })
-	running.Go(func() { g.follower.tellRollouts(duties) })
-	running.Go(func() { g.reach.run(duties) })
+// The peers listener serves other routers; it may be nil.
+func (g *Gateway) Run(stopping context.Context, clients, peers net.Listener) error {
+	background, cancelBackground := context.WithCancel(context.Background())
+	defer cancelBackground()
+	var tasks sync.WaitGroup
+	tasks.Go(func() { g.loop.run(background) })
+	tasks.Go(func() { g.follower.run(background) })
+	tasks.Go(func() { g.follower.reportSuspects(background) })
+	tasks.Go(func() { g.follower.sendQuarantineOrders(background) })
+	tasks.Go(func() { g.follower.reportQuota(background) })
+	tasks.Go(func() { g.follower.reportRollouts(background) })
+	tasks.Go(func() { g.isolation.run(background) })
 	server := &http.Server{
-		Handler: g, ReadHeaderTimeout: headerTime, MaxHeaderBytes: maxHeaderBytes,
-		ConnContext: g.clients.begin, ConnState: g.clients.change,
+		Handler: g, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnContext: g.clients.begin, ConnState: g.clients.setState,
 	}
-	running.Go(func() { g.enforceLimits(duties) })
-	served := make(chan error, 2)
-	go func() { served <- server.Serve(clients) }()
-	peerServer := &http.Server{Handler: g.PeerHandler(), ReadHeaderTimeout: headerTime}
-	if others != nil {
-		go func() { served <- peerServer.Serve(others) }()
+	tasks.Go(func() { g.enforceLimits(background) })
+	serveErrors := make(chan error, 2)
+	go func() { serveErrors <- server.Serve(clients) }()
+	peerServer := &http.Server{Handler: g.PeerHandler(), ReadHeaderTimeout: readHeaderTimeout}
+	if peers != nil {
+		go func() { serveErrors <- peerServer.Serve(peers) }()
 	}
-	var failed error
+	var failure error
 	select {
-	case err := <-served:
-		failed = errors.Wrap(errors.CombineErrors(err, errors.CombineErrors(server.Close(), peerServer.Close())), "clients can't be served")
+	case err := <-serveErrors:
+		failure = errors.Wrap(errors.CombineErrors(err, errors.CombineErrors(server.Close(), peerServer.Close())), "clients can't be served")
 	case <-stopping.Done():
 		g.stop(server, peerServer)
 	}
-	end()
-	running.Wait()
+	cancelBackground()
+	tasks.Wait()
 	g.pool.Close()
-	return failed
+	return failure
 }
 
-// enforceLimits closes connections of clients that exceed the times of the
-// document in force.
+// enforceLimits closes connections of clients that exceed the time limits of the active
+// document.
 func (g *Gateway) enforceLimits(ctx context.Context) {
 	check := time.NewTicker(limitInterval)
 	defer check.Stop()
@@ -197,15 +199,15 @@
 	}
 }
 
-// stop carries out the planned stop.
+// stop carries out a planned stop.
 func (g *Gateway) stop(server, peerServer *http.Server) {
 	deadline := steadyclock.Now().Add(g.config.Grace - stopMargin)
 	g.stopping.Store(true)
 	g.logger.WithField("in_flight", g.inFlight.Load()).Info("stopping")
-	time.Sleep(min(unreadyTime, g.config.Grace/2))
+	time.Sleep(min(unreadyDelay, g.config.Grace/2))
 	g.closing.Store(true)
-	finishing, cancel := steadyclock.WithDeadline(context.Background(), deadline)
+	shutdownCtx, cancel := steadyclock.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	err := errors.CombineErrors(server.Shutdown(finishing), peerServer.Shutdown(finishing))
+	err := errors.CombineErrors(server.Shutdown(shutdownCtx), peerServer.Shutdown(shutdownCtx))
 	g.logger.WithField("unanswered", g.inFlight.Load()).WithField(logrus.ErrorKey, err).Info("stopped")
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -26,7 +26,7 @@
 	"github.com/martenstage/martenstage/internal/proof/testaddress"
 )
 
-// dialect is a contract of the tests' own, towards clients and servers.
+// dialect is the header contract of the tests with clients and servers.
 type dialect struct{}
 
 func (dialect) RequestID(header http.Header) string { return header.Get("X-Id") }
@@ -63,54 +63,54 @@
 	}
 }
 
-func TestRequestAndAnswerPassUnchanged(t *testing.T) {
+func TestRequestAndResponsePassUnchanged(t *testing.T) {
 	s := startSite(t, oneRoute(1, "s"), map[string]http.HandlerFunc{"s": echo})
-	got := s.ask(http.MethodPost, "/a/b%2Fc?x=%20y", strings.NewReader("the body"))
+	got := s.send(http.MethodPost, "/a/b%2Fc?x=%20y", strings.NewReader("the body"))
 	require.Equal(t, http.StatusOK, got.status)
 	require.Equal(t, "POST /a/b%2Fc?x=%20y  the body", got.body)
 	require.Equal(t, "of-i-s", got.header.Get("X-Stamp"))
 	require.Equal(t, "kept", got.header.Get("X-Own"))
 
-	chunked := s.ask(http.MethodPost, "/a/b", io.MultiReader(strings.NewReader("in "), strings.NewReader("chunks")))
+	chunked := s.send(http.MethodPost, "/a/b", io.MultiReader(strings.NewReader("in "), strings.NewReader("chunks")))
 	require.Equal(t, "POST /a/b  in chunks", chunked.body)
 }
 
-func TestUnknownRouteAndLongBodyAreRefused(t *testing.T) {
+func TestUnknownRouteAndOversizedBodyAreRefused(t *testing.T) {
 	s := startSite(t, oneRoute(1, "s"), map[string]http.HandlerFunc{"s": echo})
-	require.Equal(t, http.StatusNotFound, s.ask(http.MethodGet, "/other/", nil).status)
-	require.Equal(t, http.StatusRequestEntityTooLarge, s.ask(http.MethodPost, "/a/", bytes.NewReader(make([]byte, 1001))).status)
+	require.Equal(t, http.StatusNotFound, s.send(http.MethodGet, "/other/", nil).status)
+	require.Equal(t, http.StatusRequestEntityTooLarge, s.send(http.MethodPost, "/a/", bytes.NewReader(make([]byte, 1001))).status)
 }
 
-func TestWithoutADocumentNothingIsDenied(t *testing.T) {
+func TestWithoutADocumentRequestsAreRefusedForNow(t *testing.T) {
 	s := startSite(t, nil, nil)
 	require.False(t, s.router.Ready())
-	got := s.ask(http.MethodGet, "/a/", nil)
+	got := s.send(http.MethodGet, "/a/", nil)
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.NotEmpty(t, got.header.Get("Retry-After"))
 }
 
-// TestRequestBeforeTheFirstDocumentIsToldWhenToComeBack has a request meet a router
-// that has just started: it is refused while there is still no document, and is served
-// when it comes back as told.
-func TestRequestBeforeTheFirstDocumentIsToldWhenToComeBack(t *testing.T) {
+// TestRequestBeforeTheFirstDocumentGetsRetryAfter sends a request to a router that has just
+// started: it is refused while there is no document, and served when it is retried after the
+// given time.
+func TestRequestBeforeTheFirstDocumentGetsRetryAfter(t *testing.T) {
 	s := startSite(t, nil, map[string]http.HandlerFunc{"s": echo})
-	refused := s.ask(http.MethodGet, "/a/", nil)
+	refused := s.send(http.MethodGet, "/a/", nil)
 	require.Equal(t, http.StatusServiceUnavailable, refused.status)
-	require.Zero(t, s.router.Version(), "it was held until there was a document")
+	require.Zero(t, s.router.Version(), "the request waited for the document")
 	after, err := time.ParseDuration(refused.header.Get("Retry-After"))
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, after, 250*time.Millisecond)
 	require.LessOrEqual(t, after, 350*time.Millisecond)
 	s.install(oneRoute(1, "s"))
 	time.Sleep(after)
-	require.Equal(t, http.StatusOK, s.ask(http.MethodGet, "/a/", nil).status)
+	require.Equal(t, http.StatusOK, s.send(http.MethodGet, "/a/", nil).status)
 }
 
-func TestNewerDocumentTakesForceAndAnOlderOneNever(t *testing.T) {
+func TestOnlyANewerDocumentTakesEffect(t *testing.T) {
 	s := startSite(t, oneRoute(5, "s"), map[string]http.HandlerFunc{"s": echo, "t": echo})
-	require.Equal(t, "of-i-s", s.ask(http.MethodGet, "/a/", nil).header.Get("X-Stamp"))
+	require.Equal(t, "of-i-s", s.send(http.MethodGet, "/a/", nil).header.Get("X-Stamp"))
 	s.install(oneRoute(6, "t"))
-	require.Equal(t, "of-i-t", s.ask(http.MethodGet, "/a/", nil).header.Get("X-Stamp"))
+	require.Equal(t, "of-i-t", s.send(http.MethodGet, "/a/", nil).header.Get("X-Stamp"))
 	text, err := json.Marshal(oneRoute(4, "s"))
 	require.NoError(t, err)
 	s.directory.mutex.Lock()
@@ -118,7 +118,7 @@
 	s.directory.mutex.Unlock()
 	time.Sleep(150 * time.Millisecond)
 	require.EqualValues(t, 6, s.router.Version())
-	require.Equal(t, "of-i-t", s.ask(http.MethodGet, "/a/", nil).header.Get("X-Stamp"))
+	require.Equal(t, "of-i-t", s.send(http.MethodGet, "/a/", nil).header.Get("X-Stamp"))
 }
 
 func TestFailureStatusFollowsTheVerdict(t *testing.T) {
@@ -128,20 +128,20 @@
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	}
 	broken := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
-	silent := func(_ http.ResponseWriter, request *http.Request) { <-request.Context().Done() }
+	hanging := func(_ http.ResponseWriter, request *http.Request) { <-request.Context().Done() }
 	for want, handler := range map[int]http.HandlerFunc{
-		http.StatusServiceUnavailable: refuse, http.StatusBadGateway: broken, http.StatusGatewayTimeout: silent,
+		http.StatusServiceUnavailable: refuse, http.StatusBadGateway: broken, http.StatusGatewayTimeout: hanging,
 	} {
 		document := oneRoute(1, "s")
 		document.Routes[0].Timeout = 300 * time.Millisecond
 		s := startSite(t, document, map[string]http.HandlerFunc{"s": handler})
-		got := s.ask(http.MethodGet, "/a/", nil)
+		got := s.send(http.MethodGet, "/a/", nil)
 		require.Equal(t, want, got.status)
 		require.Equal(t, want == http.StatusServiceUnavailable, got.header.Get("Retry-After") != "")
 	}
 }
 
-func TestClientThatLeavesEndsTheWorkAtTheServer(t *testing.T) {
+func TestClientDisconnectCancelsTheServerRequest(t *testing.T) {
 	ended := make(chan struct{})
 	s := startSite(t, oneRoute(1, "s"), map[string]http.HandlerFunc{"s": func(_ http.ResponseWriter, request *http.Request) {
 		<-request.Context().Done()
@@ -155,11 +155,11 @@
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
-		require.Fail(t, "the server goes on for a client that left")
+		require.Fail(t, "the server request continues after the client has disconnected")
 	}
 }
 
-func TestPlannedStopAnswersWhatWasRead(t *testing.T) {
+func TestPlannedStopAnswersAcceptedRequests(t *testing.T) {
 	var served atomic.Int64
 	s := startSite(t, oneRoute(1, "s"), map[string]http.HandlerFunc{"s": func(writer http.ResponseWriter, request *http.Request) {
 		time.Sleep(500 * time.Millisecond)
@@ -167,20 +167,20 @@
 	}})
 	statuses := make(chan int, 64)
 	var clients sync.WaitGroup
-	ask := func() {
+	send := func() {
 		clients.Go(func() {
-			statuses <- s.ask(http.MethodGet, "/a/", nil).status
+			statuses <- s.send(http.MethodGet, "/a/", nil).status
 			served.Add(1)
 		})
 	}
 	for range 4 {
-		ask()
+		send()
 	}
 	time.Sleep(50 * time.Millisecond)
 	s.stop()
 	require.Eventually(t, func() bool { return !s.router.Ready() }, time.Second, time.Millisecond)
 	for range 4 {
-		ask()
+		send()
 	}
 	clients.Wait()
 	close(statuses)
@@ -191,9 +191,9 @@
 	require.NoError(t, <-s.done)
 }
 
-// TestARouterThatCannotServeEndsWhatItRuns takes a router's listener away: once it has said why it
-// ends, nothing of it calls the directory any more.
-func TestARouterThatCannotServeEndsWhatItRuns(t *testing.T) {
+// TestRouterThatCannotServeStopsItsTasks closes a router's listener. After Run has returned
+// the error, no task of the router may call the directory.
+func TestRouterThatCannotServeStopsItsTasks(t *testing.T) {
 	var calls atomic.Int64
 	node := serve(t, http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		calls.Add(1)
--- a/internal/gateway/gather.go
+++ b/internal/gateway/gather.go
@@ -12,26 +12,26 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// Times that a gathered answer keeps from its target.
+// Times subtracted from the target time of a gathered response.
 const (
-	// cutMargin and cutShare are for merging and writing.
-	cutMargin = 6 * time.Millisecond
-	cutShare  = 0.02
-	// firstSliceMargin is for the way of a slice from another router, until that
-	// was observed.
+	// cutoffMargin and cutoffShare reserve time for merging and writing the response.
+	cutoffMargin = 6 * time.Millisecond
+	cutoffShare  = 0.02
+	// firstSliceMargin reserves time for the transfer of a slice from another router, until
+	// the transfer time has been measured.
 	firstSliceMargin = 4 * time.Millisecond
 )
 
-// eventsPerShard bounds the events of a request: a shard is in the slices of the router
-// that gathers it, of those that stand in for it and of this one; in each it gives a
-// part or is lost, and each slice has two frames more than parts and a failure.
-const eventsPerShard = (maxStandIns + 2) * 4
+// eventsPerShard bounds the events of a request per shard. A shard is in the slices of the
+// router that gathers it, of the backup routers and of this router. In each slice it yields a
+// part or is lost, and each slice sends two frames more than parts and one failure.
+const eventsPerShard = (maxBackupRouters + 2) * 4
 
-// gatherState is one request that is put together from slices.
+// gatherState is a request that is assembled from slices.
 type gatherState struct {
 	*exchangeState
 	message *fingerprinted
-	// encoded is message as it travels to other routers; nil until one is asked.
+	// encoded is message as sent to other routers; nil until the first slice is sent.
 	encoded    json.RawMessage
 	collection slicing.Collection
 	events     chan *gatherEvent
@@ -42,43 +42,44 @@
 	cancel     context.CancelFunc
 	context    context.Context
 	fallbacks  int
-	// withdrawn is why the request ends on its way: it was found to be quarantined, or another
-	// router knows it to be suspected, which this one was not told yet; empty for neither.
+	// withdrawn is why the request is ended early: it became quarantined, or another router
+	// already knows it as suspected. Empty for neither.
 	withdrawn verdict.Reason
 }
 
-// serveGather answers a request whose route names shards.
-func (s *exchangeState) serveGather(passed *fingerprinted) {
+// serveGather answers a request whose route has shards.
+func (s *exchangeState) serveGather(forwarded *fingerprinted) {
 	ctx, cancel := context.WithCancel(s.request.Context())
 	defer cancel()
 	arrived := s.arrival()
 	state := &gatherState{
-		exchangeState: s, message: passed, context: ctx, cancel: cancel,
+		exchangeState: s, message: forwarded, context: ctx, cancel: cancel,
 		collection: slicing.Collection{
 			Total: len(s.route.Shards), Least: s.route.LeastShare, Deadline: arrived.Deadline, Cut: arrived.Due,
 		},
 		events: make(chan *gatherEvent, eventsPerShard*len(s.route.Shards)+16),
 	}
 	for _, slice := range s.gateway.peers.layout(s.route.Shards).Assign(s.id, s.route.Shards) {
-		state.begin(slice, origin{})
+		state.startSlice(slice, origin{})
 	}
-	state.wait()
+	state.run()
 }
 
-// cut is when parts that suffice are answered with; zero for never.
-func (s *exchangeState) cut() time.Time {
+// cutoff returns when the response is sent with the parts received so far, if they suffice;
+// zero for never.
+func (s *exchangeState) cutoff() time.Time {
 	if s.route.Target <= 0 {
 		return time.Time{}
 	}
-	margin := s.gateway.answerLag.margin(max(cutMargin, time.Duration(cutShare*float64(s.route.Target))))
-	return s.arrived.Add(s.route.Target - s.away() - margin)
+	margin := s.gateway.answerLag.margin(max(cutoffMargin, time.Duration(cutoffShare*float64(s.route.Target))))
+	return s.arrived.Add(s.route.Target - s.networkDelay() - margin)
 }
 
-// wait takes events in until the collection decides, then answers.
-func (g *gatherState) wait() {
+// run handles events until the collection decides, and then answers.
+func (g *gatherState) run() {
 	timer := time.NewTimer(steadyclock.Until(g.collection.Next(steadyclock.Now())))
 	defer timer.Stop()
-	defer g.finish()
+	defer g.cleanUp()
 	for {
 		now := steadyclock.Now()
 		if g.withdrawn != "" {
@@ -95,23 +96,23 @@
 		}
 		select {
 		case event := <-g.events:
-			g.takeIn(event)
+			g.handleEvent(event)
 		case <-timer.C:
 			timer.Reset(max(time.Millisecond, steadyclock.Until(g.collection.Next(steadyclock.Now()))))
 		case <-g.request.Context().Done():
-			g.tell("client_gone", 0, g.result)
+			g.recordOutcome("client_gone", 0, g.result)
 			return
 		}
 	}
 }
 
-func (g *gatherState) takeIn(event *gatherEvent) {
+func (g *gatherState) handleEvent(event *gatherEvent) {
 	state := g.slices[event.slice]
 	switch {
 	case event.frame != nil:
-		g.gateway.reach.hear(state.Router.Zone)
+		g.gateway.isolation.recordContact(state.Router.Zone)
 		g.observeLag(state, event)
-		g.takeFrame(state, event.frame, event.at)
+		g.addFrame(state, event.frame, event.at)
 	case event.failed:
 		g.fallBack(event)
 	case event.ended:
@@ -120,16 +121,16 @@
 			g.withdrawn = verdict.ReasonQuarantined
 		}
 		for _, position := range event.lost {
-			g.lose(state, position)
+			g.markLost(state, position)
 		}
 		g.addResult(event.result)
 	default:
-		g.takePart(state, event.part.Shard, event.part.Reply.Stamp, event.at)
+		g.addPart(state, event.part.Shard, event.part.Reply.Stamp, event.at)
 		g.records = append(g.records, event.part.Reply.Body)
 	}
 }
 
-// observeLag learns how late the frame that was sent at the cut came in.
+// observeLag measures how late the frame arrived that was due at the cutoff.
 func (g *gatherState) observeLag(state *sliceState, event *gatherEvent) {
 	if state.due.IsZero() || event.at.Before(state.due) || event.frame.Last && len(event.frame.Lost) == 0 {
 		return
@@ -138,18 +139,18 @@
 	state.due = time.Time{}
 }
 
-func (g *gatherState) takeFrame(state *sliceState, frame *sliceFrame, at time.Time) {
+func (g *gatherState) addFrame(state *sliceState, frame *sliceFrame, at time.Time) {
 	for number, position := range frame.Shards {
-		g.takePart(state, position, frame.Stamps[number], at)
+		g.addPart(state, position, frame.Stamps[number], at)
 	}
 	g.records = append(g.records, frame.Records)
 	for _, position := range frame.Lost {
-		g.lose(state, position)
+		g.markLost(state, position)
 	}
 	state.ended = state.ended || frame.Last
 }
 
-func (g *gatherState) takePart(state *sliceState, position int, stamp string, at time.Time) {
+func (g *gatherState) addPart(state *sliceState, position int, stamp string, at time.Time) {
 	if state.open[position] {
 		delete(state.open, position)
 		g.collection.Add(at)
@@ -157,7 +158,7 @@
 	}
 }
 
-func (g *gatherState) lose(state *sliceState, position int) {
+func (g *gatherState) markLost(state *sliceState, position int) {
 	if state.open[position] {
 		delete(state.open, position)
 		g.collection.Out++
@@ -171,8 +172,8 @@
 	g.result.Verdict = result.Verdict
 }
 
-// finish ends what is still on its way.
-func (g *gatherState) finish() {
+// cleanUp ends the slices that are still in flight.
+func (g *gatherState) cleanUp() {
 	g.cancel()
 	for _, state := range g.slices {
 		g.gateway.claims.close(state.token)
@@ -191,12 +192,12 @@
 	if late := steadyclock.Since(g.collection.Cut); late > 0 && g.collection.DueAtCut() {
 		g.gateway.answerLag.observe(late)
 	}
-	g.told = g.toTell()
-	g.tell("answered", http.StatusOK, g.result)
+	g.gathered = g.summarize()
+	g.recordOutcome("answered", http.StatusOK, g.result)
 }
 
-// failGather answers that too few parts came. Only what one router gathered alone
-// can be proved not to have run.
+// failGather answers a request with too few parts. That nothing has run is certain only if
+// this router gathered all parts itself.
 func (g *gatherState) failGather(decision slicing.Decision) {
 	alone := len(g.slices) == 1 && g.slices[0].Router.Name == "" && g.slices[0].ended
 	g.result.Reason = verdict.ReasonCoverage
@@ -206,34 +207,33 @@
 	if !alone || g.result.Verdict != verdict.NotRun {
 		g.result.Verdict = verdict.MayHaveRun
 	} else {
-		g.result.RetryAfter = g.comeBack()
+		g.result.RetryAfter = g.retryAfter()
 	}
-	g.told = g.toTell()
+	g.gathered = g.summarize()
 	g.fail(g.result)
 }
 
-// failWithdrawn answers a request that ends after it had been sent to servers or routers.
+// failWithdrawn answers a request that was ended after it had been sent to servers or routers.
 func (g *gatherState) failWithdrawn() {
 	g.result.Verdict, g.result.Reason = verdict.MayHaveRun, g.withdrawn
-	g.told = g.toTell()
+	g.gathered = g.summarize()
 	g.fail(g.result)
 }
 
-func (g *gatherState) toTell() gatherTold {
-	told := gatherTold{shards: g.collection.Total, missing: g.collection.Total - g.collection.In, slices: len(g.slices), fallbacks: g.fallbacks}
+func (g *gatherState) summarize() gatherSummary {
+	summary := gatherSummary{shards: g.collection.Total, missing: g.collection.Total - g.collection.In, slices: len(g.slices), fallbacks: g.fallbacks}
 	if !g.collection.Cut.IsZero() {
-		told.cut = g.collection.Cut.Sub(g.arrived)
+		summary.cut = g.collection.Cut.Sub(g.arrived)
 	}
-	return told
+	return summary
 }
 
-// gatherTold is what the log says of a gathered answer.
-type gatherTold struct {
+// gatherSummary describes a gathered response in the log.
+type gatherSummary struct {
 	shards    int
 	missing   int
 	slices    int
 	fallbacks int
-	// cut is how long after its arrival the request was to be answered with the
-	// parts that are in; 0 for never.
+	// cut is the cutoff, counted from the arrival of the request; 0 for never.
 	cut time.Duration
 }
--- a/internal/gateway/gather_bench_test.go
+++ b/internal/gateway/gather_bench_test.go
@@ -17,37 +17,36 @@
 	"github.com/martenstage/martenstage/internal/routing"
 )
 
-// Sizes of the measured site: a sweep of a large index, gathered by other routers.
+// Size of the benchmarked site: a query of a large index, gathered by other routers.
 const (
 	measuredShards  = 180
 	measuredRouters = 16
 )
 
-// cellShards are the shards of one cell.
+// cellShards is the number of shards of a cell.
 const cellShards = 14
 
-// BenchmarkGatherBySlices is a request over many shards, all gathered by other
-// routers, which answer at once: the processor time of the router that was asked,
-// with that of the client and the stand-ins.
+// BenchmarkGatherBySlices measures a request over many shards, all gathered by other routers
+// that answer at once. The CPU time includes that of the client and the fake routers.
 func BenchmarkGatherBySlices(b *testing.B) {
 	site, document := measuredSite(b, measuredShards, "b", func() string { return "127.0.0.1:1" })
 	reply := &site.directory.reply
 	for number := range measuredRouters {
-		reply.Routers = append(reply.Routers, directory.ListedRouter{Name: fmt.Sprint("other", number), Zone: "b", Address: sliceStandIn(b)})
+		reply.Routers = append(reply.Routers, directory.ListedRouter{Name: fmt.Sprint("other", number), Zone: "b", Address: fakeSliceRouter(b)})
 	}
 	reply.RoutersDigest = 1
 	site.measure(b, document)
 }
 
-// BenchmarkGatherHere is a request over the shards of one cell, gathered by the
-// router that was asked from servers that answer at once.
+// BenchmarkGatherHere measures a request over the shards of one cell, gathered locally from
+// servers that answer at once.
 func BenchmarkGatherHere(b *testing.B) {
-	site, document := measuredSite(b, cellShards, "a", func() string { return partStandIn(b) })
+	site, document := measuredSite(b, cellShards, "a", func() string { return fakePartServer(b) })
 	site.measure(b, document)
 }
 
-// measuredSite is a router of zone a with a route over shards, each with one server in a
-// zone; the document is not installed yet.
+// measuredSite starts a router of zone a, with a route over shards that have one server each
+// in the given zone. The document is not installed yet.
 func measuredSite(b *testing.B, shards int, zone string, server func() string) (*site, *routing.Document) {
 	document := oneRoute(1, "s")
 	route := &document.Routes[0]
@@ -73,25 +72,25 @@
 	time.Sleep(50 * time.Millisecond)
 	b.ReportAllocs()
 	for b.Loop() {
-		if got := s.ask(http.MethodGet, "/a/", nil); got.status != http.StatusOK || got.header.Get("X-Missing") != "0" {
+		if got := s.send(http.MethodGet, "/a/", nil); got.status != http.StatusOK || got.header.Get("X-Missing") != "0" {
 			b.Fatalf("%+v", got)
 		}
 	}
 }
 
-// sliceStandIn answers each request for a slice with all of its parts, in one write.
-func sliceStandIn(b *testing.B) string {
+// fakeSliceRouter starts a router that answers each slice with all parts in one write.
+func fakeSliceRouter(b *testing.B) string {
 	return serve(b, http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		var asked struct{ Shards []string }
-		if err := json.NewDecoder(request.Body).Decode(&asked); err != nil {
+		var slice struct{ Shards []string }
+		if err := json.NewDecoder(request.Body).Decode(&slice); err != nil {
 			http.Error(writer, err.Error(), http.StatusBadRequest)
 			return
 		}
-		_, _ = writer.Write(standInFrame(asked.Shards))
+		_, _ = writer.Write(fakeFrame(slice.Shards))
 	}))
 }
 
-func standInFrame(shards []string) []byte {
+func fakeFrame(shards []string) []byte {
 	body := []byte{1}
 	body = binary.AppendUvarint(body, uint64(len(shards)))
 	for position, shard := range shards {
@@ -104,8 +103,8 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...)
 }
 
-// partStandIn answers whatever comes in one piece with the same part.
-func partStandIn(b *testing.B) string {
+// fakePartServer starts a server that answers each read with the same part.
+func fakePartServer(b *testing.B) string {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(b, err)
 	b.Cleanup(func() { _ = listener.Close() })
--- a/internal/gateway/gather_slices.go
+++ b/internal/gateway/gather_slices.go
@@ -11,37 +11,37 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// sliceState is one slice of a request.
+// sliceState is the state of one slice of a request.
 type sliceState struct {
 	slicing.Slice
-	// due is when another router sends what it has by then; zero for never.
+	// due is when another router sends the parts received so far; zero for never.
 	due time.Time
-	// origin says how the slice came about.
+	// origin tells which routers failed with the slice's shards before.
 	origin origin
-	// open are the positions, in Shards, of which nothing is known yet.
+	// open holds the positions, in Shards, that are neither received nor lost.
 	open map[int]bool
-	// local is set once this router gathers the slice itself.
-	local *gathering
+	// local is set if this router gathers the slice itself.
+	local *localGather
 	ended bool
-	// token is that of its claims, at this router; 0 for none.
+	// token identifies the slice's claims at this router; 0 for none.
 	token claimToken
 }
 
-// maxStandIns bounds the routers that are asked for a shard one after the other, before
-// it is gathered here: by a router that has next to no share of what its servers allow,
-// and no connection to them.
-const maxStandIns = 3
+// maxBackupRouters bounds the backup routers that are tried for a shard one after the other,
+// before this router gathers it. This router has almost no share of the load that the shard's
+// servers admit, and no connection to them.
+const maxBackupRouters = 3
 
-// origin says how a slice came about.
+// origin tells which routers failed with the shards of a slice before.
 type origin struct {
-	// failed is how many routers failed with the shards before.
-	failed int
-	// earlier is how many of them may have sent attempts.
+	// failedRouters counts the routers that failed with the shards before.
+	failedRouters int
+	// earlier counts those of them that may have sent attempts.
 	earlier int
 }
 
-// begin gathers a slice here or asks its router for it.
-func (g *gatherState) begin(slice slicing.Slice, from origin) {
+// startSlice gathers a slice locally or requests it from its router.
+func (g *gatherState) startSlice(slice slicing.Slice, from origin) {
 	state := &sliceState{Slice: slice, origin: from, open: make(map[int]bool, len(slice.Shards))}
 	for position := range slice.Shards {
 		state.open[position] = true
@@ -49,18 +49,18 @@
 	g.slices = append(g.slices, state)
 	index := len(g.slices) - 1
 	if slice.Router.Name == "" {
-		g.gatherHere(index)
+		g.gatherLocally(index)
 		return
 	}
 	g.gateway.metrics.slicesAsked.Inc()
 	state.token = g.gateway.claims.open()
-	asked := g.sliceRequest(slice, from)
-	asked.Claims = claimTarget{Address: g.gateway.config.PeerAddress, Token: state.token}
+	request := g.sliceRequest(slice, from)
+	request.Claims = claimTarget{Address: g.gateway.config.PeerAddress, Token: state.token}
 	if !g.collection.Cut.IsZero() {
-		state.due = steadyclock.Now().Add(asked.CutLeft)
+		state.due = steadyclock.Now().Add(request.CutLeft)
 	}
 	go func() {
-		accepted, err := g.gateway.slices.ask(g.context, slice.Router, asked, func(frame sliceFrame) {
+		accepted, err := g.gateway.slices.send(g.context, slice.Router, request, func(frame sliceFrame) {
 			g.events <- &gatherEvent{slice: index, frame: &frame, at: steadyclock.Now()}
 		})
 		if err != nil {
@@ -69,45 +69,45 @@
 	}()
 }
 
-// sliceRequest is what the router of a slice is asked.
+// sliceRequest returns the message that requests a slice from its router.
 func (g *gatherState) sliceRequest(slice slicing.Slice, from origin) sliceRequest {
 	now := steadyclock.Now()
-	asked := sliceRequest{
+	request := sliceRequest{
 		Request: g.encode(), Shards: slice.Shards, Route: g.route.Name, MaxAttempts: g.route.MaxAttempts,
 		Priority: g.route.Priority, TopRecords: g.route.TopRecords, LeastShare: g.route.LeastShare, Target: g.route.Target,
 		DeadlineLeft: g.collection.Deadline.Sub(now), Earlier: from.earlier, Tried: g.tried, Caller: g.caller(),
 	}
 	if !g.collection.Cut.IsZero() {
-		asked.CutLeft = max(0, g.collection.Cut.Sub(now)-g.gateway.sliceLag.margin(firstSliceMargin))
+		request.CutLeft = max(0, g.collection.Cut.Sub(now)-g.gateway.sliceLag.margin(firstSliceMargin))
 	}
-	return asked
+	return request
 }
 
-// encode returns the client's request as it travels to other routers.
+// encode returns the client's request as sent to other routers.
 func (g *gatherState) encode() json.RawMessage {
 	if g.encoded != nil {
 		return g.encoded
 	}
 	encoded, err := json.Marshal(g.message.Request)
 	if err != nil {
-		panic(errors.Wrap(err, "a request holds only texts and bytes"))
+		panic(errors.Wrap(err, "request could not be encoded"))
 	}
 	g.encoded = encoded
 	return encoded
 }
 
-// gatherHere gives a slice to the own engine.
-func (g *gatherState) gatherHere(index int) {
+// gatherLocally submits a slice to this router's engine.
+func (g *gatherState) gatherLocally(index int) {
 	state := g.slices[index]
-	gathering := g.gateway.submitShards(localSlice{
+	gather := g.gateway.submitShards(localSlice{
 		request: g.message, evidence: g.evidence(), route: g.route, shards: state.Shards, deadline: g.collection.Deadline, due: g.collection.Cut,
 		earlier: state.origin.earlier, events: g.events, slice: index,
 	})
-	state.local = &gathering
+	state.local = &gather
 }
 
-// fallBack has what a router that failed has not brought gathered by those that stand
-// in for it, which know its servers, or here if those fail too.
+// fallBack reassigns the shards that a failed router has not delivered to backup routers,
+// which know the shards' servers, or gathers them locally if those fail too.
 func (g *gatherState) fallBack(event *gatherEvent) {
 	failed := g.slices[event.slice]
 	if g.context.Err() != nil || failed.ended {
@@ -122,10 +122,10 @@
 		return
 	}
 	g.gateway.metrics.slicesFailed.Inc()
-	g.gateway.noteAnswer(event.reason)
-	g.gateway.reach.fail(failed.Router.Zone)
-	if g.gateway.peers.doubt(failed.Router.Name) {
-		g.gateway.tellDoubt(failed.Router.Name)
+	g.gateway.recordMisdirectedAnswer(event.reason)
+	g.gateway.isolation.recordFailure(failed.Router.Zone)
+	if g.gateway.peers.suspect(failed.Router.Name) {
+		g.gateway.reportSuspect(failed.Router.Name)
 		g.gateway.logger.WithField("router", failed.Router.Name).WithField("accepted", event.accepted).
 			WithField("request", g.id).WithField("reason", event.reason).Info("router_doubted")
 	}
@@ -135,30 +135,29 @@
 	if event.accepted {
 		spent++
 	}
-	for earlier, open := range failed.leave(spent, granted) {
-		g.standIn(open, origin{failed: failed.origin.failed + 1, earlier: earlier})
+	for earlier, open := range failed.abandon(spent, granted) {
+		g.reassign(open, origin{failedRouters: failed.origin.failedRouters + 1, earlier: earlier})
 	}
 }
 
-// standIn has shards gathered whose router failed. Those for which as many servers may
-// have been asked as the route allows are lost.
-func (g *gatherState) standIn(shards []string, from origin) {
+// reassign gathers the shards of a failed router elsewhere. Shards that may already have had
+// as many attempts as the route allows are lost.
+func (g *gatherState) reassign(shards []string, from origin) {
 	switch {
 	case from.earlier >= max(1, g.route.MaxAttempts):
 		g.collection.Out += len(shards)
-	case from.failed > maxStandIns:
-		g.begin(slicing.Slice{Shards: shards}, from)
+	case from.failedRouters > maxBackupRouters:
+		g.startSlice(slicing.Slice{Shards: shards}, from)
 	default:
 		for _, slice := range g.gateway.peers.layout(g.route.Shards).Assign(g.id, shards) {
-			g.begin(slice, from)
+			g.startSlice(slice, from)
 		}
 	}
 }
 
-// leave ends a slice whose router failed and returns the shards that it leaves open, by
-// how many attempts may have been sent for them: as many as were spent, and those that
-// were granted.
-func (s *sliceState) leave(spent int, granted map[int]int) map[int][]string {
+// abandon ends a slice whose router failed. It returns the open shards by the number of
+// attempts that may have been sent for them: those already spent and those that were granted.
+func (s *sliceState) abandon(spent int, granted map[int]int) map[int][]string {
 	open := make(map[int][]string)
 	for position, shard := range s.Shards {
 		if !s.open[position] {
--- a/internal/gateway/gather_test.go
+++ b/internal/gateway/gather_test.go
@@ -17,7 +17,7 @@
 	"github.com/martenstage/martenstage/internal/proof/testaddress"
 )
 
-func TestGatheredAnswerNamesItsParts(t *testing.T) {
+func TestGatheredResponseNamesItsParts(t *testing.T) {
 	part := func(records ...string) http.HandlerFunc {
 		return func(writer http.ResponseWriter, request *http.Request) {
 			writer.Header().Set("X-Id", request.Header.Get("X-Id"))
@@ -31,14 +31,14 @@
 	s := startSite(t, document, map[string]http.HandlerFunc{
 		"s": part("aaaaaaaaaaaaaaaa", "cccccccccccccccc"), "t": part("bbbbbbbbbbbbbbbb", "remainder"),
 	})
-	got := s.ask(http.MethodGet, "/a/", nil)
+	got := s.send(http.MethodGet, "/a/", nil)
 	require.Equal(t, "ccccccccccccccccbbbbbbbbbbbbbbbb", got.body)
 	require.ElementsMatch(t, []string{"i-s", "i-t"}, strings.Split(got.header.Get("X-Stamps"), ","))
 	require.Equal(t, "0", got.header.Get("X-Missing"))
 }
 
-// gatherAcross starts a router in zone a whose shard t has its only server in
-// zone b, where other routers are said to listen.
+// gatherAcross starts a router in zone a. The only server of shard t is in zone b, where the
+// given addresses are listed as routers.
 func gatherAcross(t *testing.T, others ...string) *site {
 	part := func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set("X-Id", request.Header.Get("X-Id"))
@@ -64,54 +64,54 @@
 	s.directory.reply.Revision++
 	s.directory.mutex.Unlock()
 	s.install(document)
-	// A document is in force before the routers of the same reply are known, but not before
-	// those of the reply before it.
+	// A document becomes active before the routers of the same reply are applied, but after
+	// those of the previous reply.
 	document.Version++
 	s.install(document)
 	return s
 }
 
-// TestSliceOfARouterThatIsGoneIsGatheredHere guards against a request that is lost with the router that
-// was asked for a part of it. Nobody else can get the address, as one that was listened at could.
-func TestSliceOfARouterThatIsGoneIsGatheredHere(t *testing.T) {
+// TestSliceOfAnUnreachableRouterIsGatheredLocally guards against losing a request together
+// with the router that gathers a slice of it. No other process can listen at the address, as
+// could happen if it had been in use before.
+func TestSliceOfAnUnreachableRouterIsGatheredLocally(t *testing.T) {
 	s := gatherAcross(t, testaddress.Next().String())
 	for range 3 {
-		got := s.ask(http.MethodGet, "/a/", nil)
+		got := s.send(http.MethodGet, "/a/", nil)
 		require.Equal(t, http.StatusOK, got.status)
 		require.ElementsMatch(t, []string{"i-s", "i-t"}, strings.Split(got.header.Get("X-Stamps"), ","))
 		require.Len(t, got.body, 32)
 	}
 }
 
-func TestSliceOfARouterThatIsSilentOrBreaksOffIsGatheredHere(t *testing.T) {
+func TestSliceOfAFailingRouterIsGatheredLocally(t *testing.T) {
 	for name, handler := range map[string]http.HandlerFunc{
 		"floods": func(writer http.ResponseWriter, _ *http.Request) {
 			for range 10_000 {
 				_, _ = io.WriteString(writer, "\x00\x00\x00\x03\x00\x00\x00")
 			}
 		},
-		"silent":  func(_ http.ResponseWriter, request *http.Request) { <-request.Context().Done() },
-		"refuses": func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusServiceUnavailable) },
-		"breaks off": func(writer http.ResponseWriter, _ *http.Request) {
+		"unresponsive": func(_ http.ResponseWriter, request *http.Request) { <-request.Context().Done() },
+		"refuses":      func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusServiceUnavailable) },
+		"closes the connection": func(writer http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(writer, "\x00\x00\x00\x09cut")
 		},
-		"garbles": func(writer http.ResponseWriter, _ *http.Request) {
+		"malformed frame": func(writer http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(writer, "\x00\x00\x00\x03\x01\xff\xff")
 		},
 	} {
 		s := gatherAcross(t, serve(t, handler))
-		got := s.ask(http.MethodGet, "/a/", nil)
+		got := s.send(http.MethodGet, "/a/", nil)
 		require.Equal(t, http.StatusOK, got.status, name)
 		require.Equal(t, "0", got.header.Get("X-Missing"), name)
 		require.Len(t, got.body, 32, name)
 	}
 }
 
-// TestSliceOfARouterThatIsSilentIsGatheredByAnotherOfItsCell has the first router that is
-// asked keep silent: the second one stands in, and is told that the servers may have been
-// asked before.
-func TestSliceOfARouterThatIsSilentIsGatheredByAnotherOfItsCell(t *testing.T) {
-	var asked atomic.Int64
+// TestSliceOfAnUnresponsiveRouterIsGatheredByABackup has the first router not respond: a
+// second router gathers the slice, and receives that the servers may have been called before.
+func TestSliceOfAnUnresponsiveRouterIsGatheredByABackup(t *testing.T) {
+	var requests atomic.Int64
 	earlier := make(chan int, 4)
 	other := http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		var slice struct {
@@ -119,24 +119,25 @@
 			Earlier int
 		}
 		_ = json.NewDecoder(request.Body).Decode(&slice)
-		if asked.Add(1) == 1 {
+		if requests.Add(1) == 1 {
 			<-request.Context().Done()
 			return
 		}
 		earlier <- slice.Earlier
-		_, _ = writer.Write(standInFrame(slice.Shards))
+		_, _ = writer.Write(fakeFrame(slice.Shards))
 	})
 	s := gatherAcross(t, serve(t, other), serve(t, other))
-	got := s.ask(http.MethodGet, "/a/", nil)
+	got := s.send(http.MethodGet, "/a/", nil)
 	require.Equal(t, http.StatusOK, got.status)
-	require.ElementsMatch(t, []string{"i-s", "t"}, strings.Split(got.header.Get("X-Stamps"), ","), "the stand-in signs with the shard's name")
+	require.ElementsMatch(t, []string{"i-s", "t"}, strings.Split(got.header.Get("X-Stamps"), ","), "the fake router signs with the shard's name")
 	require.Equal(t, 1, <-earlier)
 }
 
-// TestSliceIsSentAgainOverANewConnection has a router end a kept connection when the next
-// slice comes on it, as after a restart: it is asked once more, and not doubted. A slice that
-// comes before the connection of the one before is kept takes a new one, which proves nothing.
-func TestSliceIsSentAgainOverANewConnection(t *testing.T) {
+// TestSliceIsResentOverANewConnection has a router close a kept connection when the next slice
+// arrives on it, as after a restart: the slice is resent, and the router is not suspected. A
+// slice that is sent before the previous connection is idle uses a new connection, which tests
+// nothing.
+func TestSliceIsResentOverANewConnection(t *testing.T) {
 	var slices atomic.Int64
 	var ended atomic.Bool
 	var connections sync.Map
@@ -148,15 +149,15 @@
 		if kept && ended.CompareAndSwap(false, true) {
 			panic(http.ErrAbortHandler)
 		}
-		_, _ = writer.Write(standInFrame(slice.Shards))
+		_, _ = writer.Write(fakeFrame(slice.Shards))
 	}))
 	s := gatherAcross(t, other)
-	asked := int64(0)
-	for ; !ended.Load(); asked++ {
-		require.Less(t, asked, int64(200), "no connection is kept")
-		got := s.ask(http.MethodGet, "/a/", nil)
+	sent := int64(0)
+	for ; !ended.Load(); sent++ {
+		require.Less(t, sent, int64(200), "no connection is reused")
+		got := s.send(http.MethodGet, "/a/", nil)
 		require.Equal(t, http.StatusOK, got.status)
 		require.ElementsMatch(t, []string{"i-s", "t"}, strings.Split(got.header.Get("X-Stamps"), ","))
 	}
-	require.Equal(t, asked+1, slices.Load())
+	require.Equal(t, sent+1, slices.Load())
 }
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -8,71 +8,69 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// Directions of calls that reached another process than the one that they were meant for.
+// Directions of misdirected calls, which reached another process than the intended one.
 const (
 	directionReceived = "received"
 	directionSent     = "sent"
 )
 
-// group returns that of the directory nodes; 0 until one told.
+// group returns the group of the directory nodes; 0 until a node has reported it.
 func (g *Gateway) group() addressee.Group { return addressee.Group(g.knownGroup.Load()) }
 
-// joinGroup takes in the group of the node that is followed. A router that knows its group keeps
-// it.
+// joinGroup adopts the group of the followed node. A router that knows its group keeps it.
 func (g *Gateway) joinGroup(group addressee.Group, node string) {
 	if group != 0 && g.knownGroup.CompareAndSwap(0, uint64(group)) {
 		g.logger.WithFields(logrus.Fields{"group": group, "directory": node}).Info("group_joined")
 	}
 }
 
-// seedsToName returns the seeds as long as the router knows no group, for nodes of another one to
-// refuse it: an address of a seed may have passed to them.
-func (f *follower) seedsToName() []string {
+// seedsToSend returns the seeds while the router knows no group. Nodes of another group, which
+// may have taken over the address of a seed, refuse a router by them.
+func (f *follower) seedsToSend() []string {
 	if f.gateway.group() != 0 {
 		return nil
 	}
 	return f.gateway.seedList()
 }
 
-// checkGroup returns a *addressee.MisdirectedError for a directory node of another group, whose
-// documents, servers and orders are not those of this router.
+// checkGroup returns a *addressee.MisdirectedError if a directory node belongs to another
+// group, whose documents, servers and orders must not be applied.
 func (f *follower) checkGroup(group addressee.Group, node string) error {
 	own := f.gateway.group()
 	if !own.Differs(group) {
 		return nil
 	}
 	err := &addressee.MisdirectedError{Expected: addressee.Identity{Group: own}, Found: addressee.Identity{Group: group}}
-	f.gateway.noteAnswer(err)
+	f.gateway.recordMisdirectedAnswer(err)
 	return errors.Wrap(err, node)
 }
 
-// identity is this router as others know it.
+// identity returns the identity of this router in calls between processes.
 func (g *Gateway) identity() addressee.Identity {
 	return addressee.Identity{Group: g.group(), Name: g.config.Name}
 }
 
-// noteMisdirected tells of a call that this router got in the place of another process.
-func (g *Gateway) noteMisdirected(refused *addressee.MisdirectedError) {
-	g.tellMisdirected(directionReceived, refused)
+// recordMisdirected records a call that this router received in place of another process.
+func (g *Gateway) recordMisdirected(refused *addressee.MisdirectedError) {
+	g.logMisdirected(directionReceived, refused)
 }
 
-// noteAnswer tells of a call that another process answered than the one that was meant, if an
-// error says so.
-func (g *Gateway) noteAnswer(err error) {
+// recordMisdirectedAnswer records a call that the wrong process answered, if err says so.
+func (g *Gateway) recordMisdirectedAnswer(err error) {
 	var misdirected *addressee.MisdirectedError
 	if errors.As(err, &misdirected) {
-		g.tellMisdirected(directionSent, misdirected)
+		g.logMisdirected(directionSent, misdirected)
 	}
 }
 
-func (g *Gateway) tellMisdirected(direction string, call *addressee.MisdirectedError) {
+func (g *Gateway) logMisdirected(direction string, call *addressee.MisdirectedError) {
 	g.metrics.misdirected.WithLabelValues(direction).Inc()
-	leftOut, tells := g.misdirected.Take(steadyclock.Now())
-	if !tells {
+	omitted, allowed := g.misdirectedLines.Take(steadyclock.Now())
+	if !allowed {
 		return
 	}
 	g.logger.WithFields(logrus.Fields{
 		"direction": direction, "expected": call.Expected.Name, "expected_group": call.Expected.Group,
-		"found": call.Found.Name, "found_group": call.Found.Group, "refused": call.Refused, "left_out": leftOut,
+		"found": call.Found.Name, "found_group": call.Found.Group, "refused": call.Refused, "left_out": omitted,
 	}).Warn("call_misdirected")
 }
--- a/internal/gateway/group_test.go
+++ b/internal/gateway/group_test.go
@@ -24,7 +24,7 @@
 	return document
 }
 
-// partOf returns a server of a shard that answers with a record.
+// partOf returns a handler of a shard that answers with a record.
 func partOf(record string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set("X-Id", request.Header.Get("X-Id"))
@@ -33,31 +33,31 @@
 	}
 }
 
-// strangerAt starts a router of another group at an address. Its document has the shards s and t
-// as well.
-func strangerAt(t *testing.T, name string, group addressee.Group, peers net.Listener) *site {
+// startForeignRouter starts a router of another group on a listener. Its document has the
+// shards s and t as well.
+func startForeignRouter(t *testing.T, name string, group addressee.Group, peers net.Listener) *site {
 	stub := &directoryStub{}
 	stub.reply.Source, stub.reply.Whole, stub.reply.Group = "other stub", true, group
 	foreign := partOf("FOREIGN-RECORD-1")
-	stranger := startRouter(t, name, "b", peers, stub, stub, map[string]http.HandlerFunc{"s": foreign, "t": foreign})
-	stranger.install(gatherRoute(1))
-	return stranger
+	foreignRouter := startRouter(t, name, "b", peers, stub, stub, map[string]http.HandlerFunc{"s": foreign, "t": foreign})
+	foreignRouter.install(gatherRoute(1))
+	return foreignRouter
 }
 
-// TestSliceIsNotTakenFromARouterOfAnotherGroup guards against a response that holds data of a
-// router that has got the address of one that is gone.
-func TestSliceIsNotTakenFromARouterOfAnotherGroup(t *testing.T) {
+// TestSliceFromARouterOfAnotherGroupIsRejected guards against responses with data of another
+// group's router that has taken over the address of a stopped one.
+func TestSliceFromARouterOfAnotherGroupIsRejected(t *testing.T) {
 	for name, sample := range map[string]struct {
-		stranger string
-		group    addressee.Group
+		name  string
+		group addressee.Group
 	}{
-		"another name, group unknown": {"stranger", 0},
+		"another name, group unknown": {"foreign", 0},
 		"the same name":               {"other0", 2},
-		"another name":                {"stranger", 2},
+		"another name":                {"foreign", 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			peers := listenLocal(t)
-			strangerAt(t, sample.stranger, sample.group, peers)
+			startForeignRouter(t, sample.name, sample.group, peers)
 			s := gatherAcross(t, peers.Addr().String())
 			s.directory.mutex.Lock()
 			s.directory.reply.Group = 1
@@ -67,7 +67,7 @@
 			s.install(gatherRoute(8))
 			s.install(gatherRoute(9))
 			for range 3 {
-				got := s.ask(http.MethodGet, "/a/", nil)
+				got := s.send(http.MethodGet, "/a/", nil)
 				require.Equal(t, http.StatusOK, got.status)
 				require.ElementsMatch(t, []string{"i-s", "i-t"}, strings.Split(got.header.Get("X-Stamps"), ","))
 				require.Equal(t, strings.Repeat("a", 32), got.body)
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestSliceForAnotherRouterIsRefused guards against a router that serves the slices of one that
-// listened at its address before.
+// TestSliceForAnotherRouterIsRefused guards against a router that serves slices meant for the
+// router that listened at its address before.
 func TestSliceForAnotherRouterIsRefused(t *testing.T) {
 	for name, sample := range map[string]struct {
 		expected addressee.Identity
@@ -90,7 +90,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			peers := listenLocal(t)
-			strangerAt(t, "router", 2, peers)
+			startForeignRouter(t, "router", 2, peers)
 			call, err := http.NewRequest(http.MethodPost, "http://"+peers.Addr().String()+"/router/slice", strings.NewReader("no slice"))
 			require.NoError(t, err)
 			addressee.Mark(call.Header, sample.expected)
@@ -102,7 +102,7 @@
 	}
 }
 
-// listenAgain listens at an address that was listened at before.
+// listenAgain listens at an address that was in use before.
 func listenAgain(t *testing.T, address string) net.Listener {
 	var listener net.Listener
 	require.Eventually(t, func() (listening bool) {
@@ -113,8 +113,8 @@
 	return listener
 }
 
-// TestRouterDoesNotFollowANodeOfAnotherGroup guards against a router that takes documents and servers
-// from a node which has got the address of one that it followed.
+// TestRouterDoesNotFollowANodeOfAnotherGroup guards against applying documents and servers of
+// another group's node that has taken over the address of the followed one.
 func TestRouterDoesNotFollowANodeOfAnotherGroup(t *testing.T) {
 	peers, address := listenLocal(t), testaddress.Next().String()
 	own := &directoryStub{}
@@ -122,7 +122,7 @@
 	node := &http.Server{Handler: own}
 	listener := listenAgain(t, address)
 	go func() { _ = node.Serve(listener) }()
-	s := startRouterOf(t, "router", "a", peers, address)
+	s := startRouterWithSeed(t, "router", "a", peers, address)
 	s.directory = own
 	own.addServer("i-s", "s", "a", serve(t, http.HandlerFunc(echo)))
 	s.install(oneRoute(1, "s"))
@@ -134,11 +134,11 @@
 	listener = listenAgain(t, address)
 	go func() { _ = other.Serve(listener) }()
 	t.Cleanup(func() { _ = other.Close() })
-	stranger := &site{t: t, directory: foreign}
-	stranger.prepare(oneRoute(7, "t"))
+	foreignSite := &site{t: t, directory: foreign}
+	foreignSite.publish(oneRoute(7, "t"))
 	require.Eventually(t, func() bool { return foreign.calls.Load() > 20 }, 10*time.Second, time.Millisecond)
 	require.EqualValues(t, 1, s.router.Version())
-	require.Equal(t, http.StatusOK, s.ask(http.MethodGet, "/a/", nil).status)
+	require.Equal(t, http.StatusOK, s.send(http.MethodGet, "/a/", nil).status)
 	require.NoError(t, other.Close())
 
 	back := &http.Server{Handler: own}
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// connectionTokens returns the headers that a Connection header names.
+// connectionTokens returns the header names listed in the values of a Connection header.
 func connectionTokens(values []string) []string {
 	var names []string
 	for _, value := range values {
--- a/internal/gateway/identifying.go
+++ b/internal/gateway/identifying.go
@@ -10,53 +10,56 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// Times of what a router believes of its document.
+// Times for which a router relies on its document.
 const (
-	// keyShare of the time within which a key that was taken away has to be refused is for
-	// how long a router goes by a document that no directory node confirms; the rest is for
-	// clocks that run at different rates.
-	keyShare = 0.95
-	// certainFor is how long a router may say that something is unknown to every document,
-	// a route or a key. Later it refuses for now: a newer document may have it. Nodes
-	// confirm each 0.2 s and hold calls for 0.7 s.
-	certainFor = 1500 * time.Millisecond
+	// keyValidityShare is the part of Config.RevokeWithin for which a router relies on a
+	// document that no directory node confirms; the rest allows for clocks that run at
+	// different rates.
+	keyValidityShare = 0.95
+	// confirmationMaxAge is the greatest age of a confirmation with which a route or key that
+	// the document lacks is reported as unknown. After it such requests are refused for now,
+	// since a newer document may have the route or key. Nodes confirm every 0.2 s and hold
+	// calls for 0.7 s.
+	confirmationMaxAge = 1500 * time.Millisecond
 )
 
-// Credentials say what a request carries to show who sends it.
+// Credentials classifies the credentials of a request.
 type Credentials uint8
 
-// The credentials.
+// Kinds of credentials.
 const (
 	CredentialsNone Credentials = iota
 	CredentialsKey
-	// CredentialsUnclear: there is more than one, or they have another form.
+	// CredentialsUnclear: there is more than one key, or its format is not known.
 	CredentialsUnclear
 )
 
-// confirmation is since when the document in force is known to be the newest; the zero value
-// is of a router that was told nothing yet.
+// confirmation tells when the active document was last known to be the newest. The zero value
+// is that of a router that has received no confirmation.
 type confirmation struct {
-	at   time.Time
-	told bool
-	// untold says that the directory does not tell, as nodes of an earlier version.
-	untold bool
+	at        time.Time
+	confirmed bool
+	// unsupported is set if the directory sends no confirmations, as nodes of an earlier
+	// version.
+	unsupported bool
 }
 
-// confirm takes in that the document in force was the newest at a time.
+// confirm records that the active document was the newest at a time.
 func (g *Gateway) confirm(at time.Time) {
-	if before := g.confirmed.Load(); before == nil || !before.told || at.After(before.at) {
-		g.confirmed.Store(&confirmation{at: at, told: true})
+	if before := g.confirmed.Load(); before == nil || !before.confirmed || at.After(before.at) {
+		g.confirmed.Store(&confirmation{at: at, confirmed: true})
 	}
 }
 
-// confirmUntold takes in that the directory does not tell how new its document is.
-func (g *Gateway) confirmUntold() {
+// confirmUnsupported records that the directory sends no confirmations.
+func (g *Gateway) confirmUnsupported() {
 	if held := g.confirmed.Load(); held == nil {
-		g.confirmed.Store(&confirmation{untold: true})
+		g.confirmed.Store(&confirmation{unsupported: true})
 	}
 }
 
-// confirmation returns what is known of the document that a table read after the call has.
+// confirmation returns the confirmation of the document in a table that is loaded after the
+// call.
 func (g *Gateway) confirmation() confirmation {
 	if held := g.confirmed.Load(); held != nil {
 		return *held
@@ -64,64 +67,62 @@
 	return confirmation{}
 }
 
-// keysHold reports whether requests may be served by their keys at a time: whatever key was
-// taken away longer than the bound ago is not in the document any more.
-func (g *Gateway) keysHold(now time.Time, confirmed confirmation) bool {
+// keysValid reports whether requests may be served by their keys at a time: a key that was
+// revoked longer than Config.RevokeWithin ago is no longer in the document.
+func (g *Gateway) keysValid(now time.Time, confirmed confirmation) bool {
 	within := g.config.RevokeWithin
-	return within == 0 || confirmed.told && now.Before(confirmed.at.Add(time.Duration(keyShare*float64(within))))
+	return within == 0 || confirmed.confirmed && now.Before(confirmed.at.Add(time.Duration(keyValidityShare*float64(within))))
 }
 
-// certain reports whether what the document does not have can be called unknown.
-func (c confirmation) certain(now time.Time) bool {
-	return c.untold || c.told && now.Sub(c.at) <= certainFor
+// current reports whether a route or key that the document lacks can be reported as unknown.
+func (c confirmation) current(now time.Time) bool {
+	return c.unsupported || c.confirmed && now.Sub(c.at) <= confirmationMaxAge
 }
 
-// keysLapsed reports whether the router can serve no requests that need a key.
-func (g *Gateway) keysLapsed() bool {
+// keysExpired reports whether the router can't serve requests that need a key.
+func (g *Gateway) keysExpired() bool {
 	confirmed, table := g.confirmation(), g.table.Load()
-	return table != nil && table.HasTenants() && !g.keysHold(steadyclock.Now(), confirmed)
+	return table != nil && table.HasTenants() && !g.keysValid(steadyclock.Now(), confirmed)
 }
 
-// refuseUnknown answers a request for something that the document does not have, with a
-// status of its own if that is certain.
+// refuseUnknown refuses a request for a route or key that the document lacks. It uses the
+// given status only if the document is confirmed to be current.
 func (s *exchangeState) refuseUnknown(status int, reason verdict.Reason) {
-	if !s.confirmed.certain(steadyclock.Now()) {
-		s.refuse(http.StatusServiceUnavailable, verdict.ReasonNoLease, s.comeBack())
+	if !s.confirmed.current(steadyclock.Now()) {
+		s.refuse(http.StatusServiceUnavailable, verdict.ReasonNoLease, s.retryAfter())
 		return
 	}
 	s.refuse(status, reason, 0)
 }
 
-// identify finds the tenant of a request. It reports whether the request is to be served;
-// else it was refused.
+// identify finds the tenant of a request. It returns false if it has refused the request.
 func (s *exchangeState) identify(table *routing.Table) bool {
 	if !table.HasTenants() {
 		return true
 	}
-	key, given := s.gateway.config.Dialect.Key(s.request.Header)
-	if given == CredentialsKey {
+	key, credentials := s.gateway.config.Dialect.Key(s.request.Header)
+	if credentials == CredentialsKey {
 		s.tenant = table.TenantOf(key)
 	}
 	switch {
 	case s.tenant == nil && !s.route.Public:
 		s.refuseUnknown(http.StatusUnauthorized, verdict.ReasonUnknownKey)
 		return false
-	case s.tenant != nil && !s.gateway.keysHold(steadyclock.Now(), s.confirmed):
-		s.refuseLapsed()
+	case s.tenant != nil && !s.gateway.keysValid(steadyclock.Now(), s.confirmed):
+		s.refuseUnconfirmedKey()
 		return false
 	}
 	if s.tenant != nil && s.tenant.Priority != nil && *s.tenant.Priority != s.route.Priority {
-		ranked := *s.route
-		ranked.Priority = *s.tenant.Priority
-		s.route = &ranked
+		adjusted := *s.route
+		adjusted.Priority = *s.tenant.Priority
+		s.route = &adjusted
 	}
 	return true
 }
 
-// identifyAgain looks the key up once more, after the body and the tenant's token: the client may have
-// taken its time for the one, a directory node for the other. It reports whether the request is to be
-// served; else it was refused.
-func (s *exchangeState) identifyAgain(before *routing.Table) bool {
+// recheckKey looks up the key again after the body was read and the tenant's token obtained,
+// since either may have taken long. It returns false if it has refused the request.
+func (s *exchangeState) recheckKey(before *routing.Table) bool {
 	if s.tenant == nil {
 		return true
 	}
@@ -133,20 +134,20 @@
 			return false
 		}
 	}
-	if !s.gateway.keysHold(steadyclock.Now(), s.confirmed) {
-		s.refuseLapsed()
+	if !s.gateway.keysValid(steadyclock.Now(), s.confirmed) {
+		s.refuseUnconfirmedKey()
 		return false
 	}
 	return true
 }
 
-// refuseLapsed refuses a request whose key may have been taken away.
-func (s *exchangeState) refuseLapsed() {
+// refuseUnconfirmedKey refuses a request whose key may have been revoked.
+func (s *exchangeState) refuseUnconfirmedKey() {
 	s.writer.Header().Set("Connection", "close")
-	s.refuse(http.StatusServiceUnavailable, verdict.ReasonNoLease, s.comeBack())
+	s.refuse(http.StatusServiceUnavailable, verdict.ReasonNoLease, s.retryAfter())
 }
 
-// tenantName returns that of the request's tenant; empty for none.
+// tenantName returns the name of the request's tenant; empty for none.
 func (s *exchangeState) tenantName() string {
 	if s.tenant == nil {
 		return ""
@@ -154,12 +155,12 @@
 	return s.tenant.Name
 }
 
-// passedHeaders returns the headers that servers get. Of a site with tenants they hold no key,
-// and the tenant's name is the one that was found here.
-func (s *exchangeState) passedHeaders(table *routing.Table) message.Header {
-	passed := passedOn(s.request.Header)
+// forwardedHeaders returns the headers sent to servers. On a site with tenants they contain no
+// key, and name the tenant that this router identified.
+func (s *exchangeState) forwardedHeaders(table *routing.Table) message.Header {
+	forwarded := endToEndHeaders(s.request.Header)
 	if table.HasTenants() {
-		s.gateway.config.Dialect.Identify(passed, s.tenantName())
+		s.gateway.config.Dialect.Identify(forwarded, s.tenantName())
 	}
-	return passed
+	return forwarded
 }
--- a/internal/gateway/isolating.go
+++ b/internal/gateway/isolating.go
@@ -21,41 +21,45 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// Probes of other routers, once this one may be cut off from all other zones.
+// Bounds of probing other routers, which a router does when it may be isolated from all other
+// zones.
 const (
-	// probeTimeout is many times the way between zones of a region, so that also a
-	// router with little processor time is heard.
+	// probeTimeout is many times the latency between zones of a region, so that a router with
+	// little CPU time answers as well.
 	probeTimeout = 100 * time.Millisecond
-	// probeInterval lies between rounds while the router is isolated.
+	// probeInterval is the pause between rounds of probes while the router is isolated.
 	probeInterval = 200 * time.Millisecond
-	// probedOthers and probedOwn are how many routers of other zones and of the own one
-	// are probed in a round. Where 60 % of all routers lost power, four others were silent
-	// in one round of eight, and eight are in one of sixty.
-	probedOthers = 8
-	probedOwn    = 2
-	// warnedPeers is how many routers of its zone a router tells that it began to probe:
-	// with a few requests a second each would find it out by one that fails.
-	warnedPeers = 64
+	// probesOtherZones and probesOwnZone are how many routers of other zones and of the own
+	// zone are probed in a round. With 60 % of all routers without power, four probed routers
+	// of other zones all failed to answer in one of 8 rounds, eight in one of 60.
+	probesOtherZones = 8
+	probesOwnZone    = 2
+	// maxNotifiedPeers is how many routers of its zone a router notifies when it starts to
+	// probe. At a few requests a second, each would otherwise detect the isolation only by a
+	// failed request of its own.
+	maxNotifiedPeers = 64
 )
 
-// pathProbe is the call by which a router has others of its zone probe as well.
+// pathProbe is the path of the call that makes another router of the zone probe as well.
 const pathProbe = "/router/probe"
 
-// reach finds out whether this router is cut off from all other zones.
-type reach struct {
+// isolationMonitor detects whether this router is isolated from all other zones.
+type isolationMonitor struct {
 	gateway *Gateway
-	// heard is when something last came from another zone, Unix ns of the steady clock.
-	heard atomic.Int64
-	// suspicions begin rounds of probes; told says that others of the zone know.
-	suspicions chan bool
-	isolated   atomic.Bool
-	dial       func(ctx context.Context, address string) error
+	// lastContact is when a router of another zone last answered, in ns of the steady clock
+	// since the start.
+	lastContact atomic.Int64
+	// probeRequests start rounds of probes; true if a peer requested them and the zone has
+	// been notified.
+	probeRequests chan bool
+	isolated      atomic.Bool
+	dial          func(ctx context.Context, address string) error
 }
 
-func newReach(gateway *Gateway) *reach {
+func newIsolationMonitor(gateway *Gateway) *isolationMonitor {
 	dialer := &net.Dialer{KeepAlive: -1}
-	return &reach{
-		gateway: gateway, suspicions: make(chan bool, 1),
+	return &isolationMonitor{
+		gateway: gateway, probeRequests: make(chan bool, 1),
 		dial: func(ctx context.Context, address string) error {
 			conn, err := dialer.DialContext(ctx, "tcp4", address)
 			if err == nil {
@@ -66,56 +70,56 @@
 	}
 }
 
-// hear takes in that a router of a zone answered.
-func (r *reach) hear(zone string) {
-	if zone != r.gateway.config.Zone {
-		r.heard.Store(int64(steadyclock.Since(r.gateway.started)))
+// recordContact records that a router of a zone answered.
+func (i *isolationMonitor) recordContact(zone string) {
+	if zone != i.gateway.config.Zone {
+		i.lastContact.Store(int64(steadyclock.Since(i.gateway.started)))
 	}
 }
 
-// fail takes in that a router of a zone failed.
-func (r *reach) fail(zone string) {
-	if zone != r.gateway.config.Zone {
-		r.suspect(false)
+// recordFailure records that a router of a zone failed.
+func (i *isolationMonitor) recordFailure(zone string) {
+	if zone != i.gateway.config.Zone {
+		i.requestProbe(false)
 	}
 }
 
-// suspect begins rounds of probes, unless there are some already; told says that the
-// other routers of the zone were told by another one.
-func (r *reach) suspect(told bool) {
+// requestProbe starts rounds of probes, unless they are already requested. fromPeer tells that
+// a peer has notified the routers of the zone.
+func (i *isolationMonitor) requestProbe(fromPeer bool) {
 	select {
-	case r.suspicions <- told:
+	case i.probeRequests <- fromPeer:
 	default:
 	}
 }
 
-// run probes whenever there is a suspicion, until the context ends.
-func (r *reach) run(ctx context.Context) {
+// run probes on request until the context ends.
+func (i *isolationMonitor) run(ctx context.Context) {
 	var detector isolation.Detector
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case told := <-r.suspicions:
-			detector.Heard(r.gateway.started.Add(time.Duration(r.heard.Load())))
-			if told || detector.Suspects(steadyclock.Now()) {
-				r.probe(ctx, &detector, told)
+		case fromPeer := <-i.probeRequests:
+			detector.Heard(i.gateway.started.Add(time.Duration(i.lastContact.Load())))
+			if fromPeer || detector.Suspects(steadyclock.Now()) {
+				i.probe(ctx, &detector, fromPeer)
 			}
 		}
 	}
 }
 
-// probe sends rounds of probes until it is certain that another zone is reached.
-func (r *reach) probe(ctx context.Context, detector *isolation.Detector, told bool) {
+// probe runs rounds of probes until another zone is certain to be reachable.
+func (i *isolationMonitor) probe(ctx context.Context, detector *isolation.Detector, fromPeer bool) {
 	for first := true; ctx.Err() == nil; first = false {
-		round := r.round(ctx)
+		round := i.probeRound(ctx)
 		finding := detector.Take(round)
-		r.set(finding == isolation.Isolated, round)
+		i.setIsolated(finding == isolation.Isolated, round)
 		if finding == isolation.Connected {
 			return
 		}
-		if first && !told && finding == isolation.Uncertain {
-			r.warn(ctx)
+		if first && !fromPeer && finding == isolation.Uncertain {
+			i.notifyPeers(ctx)
 		}
 		if finding == isolation.Isolated {
 			select {
@@ -126,34 +130,35 @@
 	}
 }
 
-// set takes in whether the router is isolated.
-func (r *reach) set(isolated bool, round isolation.Round) {
-	if r.isolated.Swap(isolated) == isolated {
+// setIsolated records whether the router is isolated.
+func (i *isolationMonitor) setIsolated(isolated bool, round isolation.Round) {
+	if i.isolated.Swap(isolated) == isolated {
 		return
 	}
-	r.gateway.peers.setIsolated(isolated)
+	i.gateway.peers.setIsolated(isolated)
 	if isolated {
-		r.gateway.metrics.isolated.Set(1)
+		i.gateway.metrics.isolated.Set(1)
 	} else {
-		r.gateway.metrics.isolated.Set(0)
+		i.gateway.metrics.isolated.Set(0)
 	}
-	r.gateway.logger.WithFields(logrus.Fields{"isolated": isolated, "own": round.Own, "others": round.Others}).Warn("isolation_changed")
+	i.gateway.logger.WithFields(logrus.Fields{"isolated": isolated, "own": round.Own, "others": round.Others}).Warn("isolation_changed")
 }
 
-// round probes some routers at once. One that refuses the connection is reached, too.
-func (r *reach) round(ctx context.Context) isolation.Round {
-	own, others := r.gateway.peers.sample(probedOwn, probedOthers)
+// probeRound probes some routers in parallel. A router that refuses the connection counts as
+// reachable.
+func (i *isolationMonitor) probeRound(ctx context.Context) isolation.Round {
+	own, others := i.gateway.peers.sample(probesOwnZone, probesOtherZones)
 	var round isolation.Round
 	var mutex sync.Mutex
 	var probes sync.WaitGroup
-	probing, cancel := context.WithTimeout(ctx, probeTimeout)
+	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	each := func(routers []slicing.Router, count *int) {
 		for _, router := range routers {
 			probes.Go(func() {
-				err := r.dial(probing, router.Address)
+				err := i.dial(probeCtx, router.Address)
 				var failure net.Error
-				if err != nil && (errors.As(err, &failure) && failure.Timeout() || probing.Err() != nil) {
+				if err != nil && (errors.As(err, &failure) && failure.Timeout() || probeCtx.Err() != nil) {
 					return
 				}
 				mutex.Lock()
@@ -168,21 +173,21 @@
 	return round
 }
 
-// warn has the other routers of the zone probe, too.
-func (r *reach) warn(ctx context.Context) {
-	own, _ := r.gateway.peers.sample(warnedPeers, 0)
+// notifyPeers makes the other routers of the zone probe as well.
+func (i *isolationMonitor) notifyPeers(ctx context.Context) {
+	own, _ := i.gateway.peers.sample(maxNotifiedPeers, 0)
 	for _, router := range own {
 		go func() {
-			calling, cancel := context.WithTimeout(ctx, probeTimeout)
+			callCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 			defer cancel()
-			request, err := http.NewRequestWithContext(calling, http.MethodPost, "http://"+router.Address+pathProbe, nil)
+			request, err := http.NewRequestWithContext(callCtx, http.MethodPost, "http://"+router.Address+pathProbe, nil)
 			if err != nil {
 				return
 			}
-			addressee.Mark(request.Header, addressee.Identity{Group: r.gateway.group(), Name: router.Name})
-			response, err := r.gateway.slices.http.Do(request)
+			addressee.Mark(request.Header, addressee.Identity{Group: i.gateway.group(), Name: router.Name})
+			response, err := i.gateway.slices.http.Do(request)
 			if err != nil {
-				r.gateway.logger.WithField("router", router.Name).WithField("reason", err).Debug("probe_not_told")
+				i.gateway.logger.WithField("router", router.Name).WithField("reason", err).Debug("probe_not_told")
 				return
 			}
 			_ = response.Body.Close()
@@ -190,30 +195,30 @@
 	}
 }
 
-// serveProbe has this router find out whether it is isolated.
+// serveProbe starts probes at the request of a peer.
 func (g *Gateway) serveProbe(writer http.ResponseWriter, _ *http.Request) {
-	g.reach.suspect(true)
+	g.isolation.requestProbe(true)
 	writer.WriteHeader(http.StatusNoContent)
 }
 
-// withinZone reports whether the servers of the own zone suffice for a route.
-func (g *Gateway) withinZone(shards []string, least float64) bool {
-	return slicing.Suffices(g.peers.heldInZone(shards), len(shards), least)
+// zoneSuffices reports whether the servers of the own zone suffice for a route.
+func (g *Gateway) zoneSuffices(shards []string, least float64) bool {
+	return slicing.Suffices(g.peers.servedInZone(shards), len(shards), least)
 }
 
-// refuseIsolated refuses at once a request that needs servers of other zones, which this
-// router does not reach. It reports whether it did.
+// refuseIsolated refuses at once a request that needs servers of other zones while this router
+// is isolated. It reports whether it did.
 func (s *exchangeState) refuseIsolated() bool {
-	if !s.gateway.reach.isolated.Load() || !s.route.Gathers() || s.gateway.withinZone(s.route.Shards, s.route.LeastShare) {
+	if !s.gateway.isolation.isolated.Load() || !s.route.Gathers() || s.gateway.zoneSuffices(s.route.Shards, s.route.LeastShare) {
 		return false
 	}
-	s.refuse(http.StatusServiceUnavailable, verdict.ReasonCoverage, s.comeBack())
+	s.refuse(http.StatusServiceUnavailable, verdict.ReasonCoverage, s.retryAfter())
 	return true
 }
 
-// sample returns some routers of the own zone and, from each about as many, of others;
-// other ones each time.
-func (p *peers) sample(own, others int) (inZone, elsewhere []slicing.Router) {
+// sample returns random routers of the own zone and of other zones, about as many of each
+// other zone.
+func (p *peers) sample(own, others int) (inZone, otherZones []slicing.Router) {
 	p.mutex.Lock()
 	routers := slices.Clone(p.routers)
 	p.mutex.Unlock()
@@ -224,7 +229,7 @@
 	return lo.Slice(inZone, 0, own), lo.Slice(lo.Interleave(lo.Values(byZone)...), 0, others)
 }
 
-// setIsolated takes in whether the routers of other zones are out of reach.
+// setIsolated records whether the routers of other zones are unreachable.
 func (p *peers) setIsolated(isolated bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -232,8 +237,8 @@
 	clear(p.layouts)
 }
 
-// heldInZone counts the shards that have servers in the own zone.
-func (p *peers) heldInZone(shards []string) int {
+// servedInZone counts the shards that have servers in the own zone.
+func (p *peers) servedInZone(shards []string) int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.updateZones()
--- a/internal/gateway/isolating_test.go
+++ b/internal/gateway/isolating_test.go
@@ -20,7 +20,7 @@
 	"github.com/martenstage/martenstage/internal/routing"
 )
 
-// plainDialect reads nothing from requests and marks only when to come back.
+// plainDialect reads nothing from requests and sets only Retry-After.
 type plainDialect struct{ Dialect }
 
 func (plainDialect) RequestID(http.Header) string                { return "r" }
@@ -29,17 +29,16 @@
 	header.Set("Retry-After", after.String())
 }
 
-// TestRouterCutOffFromOtherZonesIsNotReadyAndRefusesAtOnce has the routers of the other zone
-// keep silent to probes while those of the own zone answer: the router is not ready, and
-// refuses what its zone's servers do not suffice for. Once another zone answers it is as
-// before.
-func TestRouterCutOffFromOtherZonesIsNotReadyAndRefusesAtOnce(t *testing.T) {
+// TestIsolatedRouterIsNotReadyAndRefusesAtOnce has probes of the other zone time out while
+// those of the own zone succeed: the router is not ready, and refuses requests for which the
+// servers of its zone do not suffice. It recovers once the other zone answers.
+func TestIsolatedRouterIsNotReadyAndRefusesAtOnce(t *testing.T) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	g := New(Config{Name: "r0", Zone: "a", Dialect: plainDialect{}}, Environment{Logger: logger, Registerer: prometheus.NewRegistry()})
 	var cut atomic.Bool
 	cut.Store(true)
-	g.reach.dial = func(ctx context.Context, address string) error {
+	g.isolation.dial = func(ctx context.Context, address string) error {
 		if strings.HasPrefix(address, "b") && cut.Load() {
 			return context.DeadlineExceeded
 		}
@@ -48,7 +47,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go g.loop.run(ctx)
-	go g.reach.run(ctx)
+	go g.isolation.run(ctx)
 	g.peers.setRouters([]directory.ListedRouter{
 		{Name: "r0", Zone: "a", Address: "a:0"}, {Name: "r1", Zone: "a", Address: "a:1"}, {Name: "r2", Zone: "b", Address: "b:2"},
 	})
@@ -59,13 +58,13 @@
 		{Name: "all", Host: "h", Prefix: "/all/", Timeout: time.Second, Shards: []string{"s", "t"}, LeastShare: 1},
 	}}, "test")
 	require.True(t, g.Ready())
-	g.reach.fail("a")
+	g.isolation.recordFailure("a")
 	require.Never(t, func() bool { return !g.Ready() }, 50*time.Millisecond, time.Millisecond)
 	require.Eventually(t, func() bool {
-		g.reach.fail("b")
+		g.isolation.recordFailure("b")
 		return !g.Ready()
 	}, 10*time.Second, time.Millisecond)
-	require.True(t, g.withinZone([]string{"s", "t"}, 0.5))
+	require.True(t, g.zoneSuffices([]string{"s", "t"}, 0.5))
 
 	recorder := httptest.NewRecorder()
 	g.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "http://h/all/", nil))
--- a/internal/gateway/lag.go
+++ b/internal/gateway/lag.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Bounds and weight of what is learned about delays.
+// Bound and decay of the observed lag.
 const (
-	longestLag = 25 * time.Millisecond
-	lagDecay   = 0.03
+	maxLag   = 25 * time.Millisecond
+	lagDecay = 0.03
 )
 
-// lag is how much time a step takes after the moment that it was planned for, so
-// that it is begun that much earlier. It follows the slow ones: a longer lag
-// counts at once, a shorter one little. The zero value is ready for use.
+// lag estimates how long after its planned time a step completes, so that the step can be
+// started earlier. It follows the slow observations: a longer lag takes effect at once, a
+// shorter one decays slowly. The zero value is ready for use.
 type lag struct {
 	mutex    sync.Mutex
 	observed time.Duration
 }
 
-// observe takes in how long after its time a step was done.
-func (l *lag) observe(took time.Duration) {
+// observe records how long after its planned time a step completed.
+func (l *lag) observe(delay time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	took = min(took, longestLag)
-	if took > l.observed {
-		l.observed = took
+	delay = min(delay, maxLag)
+	if delay > l.observed {
+		l.observed = delay
 		return
 	}
-	l.observed -= time.Duration(lagDecay * float64(l.observed-took))
+	l.observed -= time.Duration(lagDecay * float64(l.observed-delay))
 }
 
-// margin returns the time to keep, at least a number.
+// margin returns the time to reserve, which is at least a minimum.
 func (l *lag) margin(least time.Duration) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -14,7 +14,7 @@
 	"github.com/martenstage/martenstage/internal/routing"
 )
 
-// limitedSite has a document with a limit of each kind.
+// limitedSite starts a site whose document has the given limits.
 func limitedSite(t *testing.T, limits routing.Limits) *site {
 	document := oneRoute(1, "s")
 	document.Limits = limits
@@ -23,13 +23,13 @@
 
 func TestHeaderBeyondTheLimitIsRefused(t *testing.T) {
 	s := limitedSite(t, routing.Limits{HeaderBytes: 2000})
-	require.Equal(t, http.StatusOK, s.ask(http.MethodGet, "/a/", nil).status)
+	require.Equal(t, http.StatusOK, s.send(http.MethodGet, "/a/", nil).status)
 	long := "/a/?" + strings.Repeat("x", 2000)
-	require.Equal(t, http.StatusRequestHeaderFieldsTooLarge, s.ask(http.MethodGet, long, nil).status)
+	require.Equal(t, http.StatusRequestHeaderFieldsTooLarge, s.send(http.MethodGet, long, nil).status)
 }
 
-// closedBy sends bytes and waits until the router closes the connection.
-func closedBy(t *testing.T, s *site, sent string) {
+// requireClosed sends bytes and waits until the router closes the connection.
+func requireClosed(t *testing.T, s *site, sent string) {
 	t.Helper()
 	conn, err := net.Dial("tcp4", s.address)
 	require.NoError(t, err)
@@ -43,17 +43,17 @@
 
 const wholeRequest = "GET /a/ HTTP/1.1\r\nHost: site\r\nX-Id: r-1\r\nX-Left: 3s\r\n\r\n"
 
-func TestConnectionsBeyondTheTimesAreClosed(t *testing.T) {
+func TestConnectionsBeyondTheTimeLimitsAreClosed(t *testing.T) {
 	idle := limitedSite(t, routing.Limits{IdleTime: 100 * time.Millisecond})
-	closedBy(t, idle, "")
-	closedBy(t, idle, wholeRequest)
+	requireClosed(t, idle, "")
+	requireClosed(t, idle, wholeRequest)
 	header := limitedSite(t, routing.Limits{HeaderTime: 100 * time.Millisecond})
-	closedBy(t, header, "GET /a/ HTTP/1.1\r\nHost: si")
+	requireClosed(t, header, "GET /a/ HTTP/1.1\r\nHost: si")
 }
 
-// TestRequestMayTakeLongerThanTheTimesOfItsConnection has a server that answers
-// only after both limits have passed.
-func TestRequestMayTakeLongerThanTheTimesOfItsConnection(t *testing.T) {
+// TestRequestMayTakeLongerThanTheConnectionLimits has a server answer only after both limits
+// have passed.
+func TestRequestMayTakeLongerThanTheConnectionLimits(t *testing.T) {
 	document := oneRoute(1, "s")
 	document.Limits = routing.Limits{HeaderTime: 50 * time.Millisecond, IdleTime: 50 * time.Millisecond}
 	s := startSite(t, document, map[string]http.HandlerFunc{"s": func(writer http.ResponseWriter, request *http.Request) {
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -12,54 +12,54 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// loop is the goroutine that owns the engine.
+// loop is the event loop that owns the engine.
 type loop struct {
 	engine   *scatter.Engine
 	pool     *exchange.Pool
 	logger   logrus.FieldLogger
 	events   chan scatter.Event
-	requests chan submitted
-	waiting  map[scatter.RequestID]submitted
+	requests chan submission
+	pending  map[scatter.RequestID]submission
 	attempts map[scatter.AttemptID]*exchange.Attempt
 	retired  retiredServers
-	last     scatter.RequestID
+	lastID   scatter.RequestID
 	timer    *time.Timer
-	// noted are the beliefs about servers that the present step changed.
-	noted []scatter.Noted
-	// claiming is what the present step asked for; claim carries such a message.
-	claiming map[scatter.RequestID][]int
-	claim    func(claimTarget, []int) error
-	// observe takes in what an attempt that ended shows of its request.
-	observe func(sentAttempt)
-	// observeRollout takes in how attempts at services with a roll-out ended; counting asks
-	// for those that are out.
+	// stateChanges are the changes of server states in the current step.
+	stateChanges []scatter.Noted
+	// pendingClaims are the claims of the current step; claim sends one of them.
+	pendingClaims map[scatter.RequestID][]int
+	claim         func(claimTarget, []int) error
+	// observe evaluates an attempt that has ended as evidence about its request.
+	observe func(endedAttempt)
+	// observeRollout records how attempts at services with a rollout ended. countRequests
+	// requests the number of attempts in flight.
 	observeRollout func(scatter.Observed)
-	counting       chan besideCount
-	// withdrawn are requests that are quarantined from now on.
+	countRequests  chan countRequest
+	// withdrawn receives requests that have become quarantined.
 	withdrawn chan []quarantine.Fingerprint
 }
 
-// submitted is a request on its way into the engine.
-type submitted struct {
+// submission is a request submitted to the engine.
+type submission struct {
 	arrived  scatter.Arrived
 	request  *fingerprinted
 	evidence *evidence
-	// encoded is the request for its attempts; it is set on admission.
+	// encoded is the request encoded for its attempts; it is set on admission.
 	encoded *exchange.Encoded
-	// id receives the engine's name of the request, answer its result.
+	// id receives the engine's id of the request, answer its result.
 	id     chan scatter.RequestID
 	answer chan scatter.Result
-	// events receives, in the place of answer, the parts and the end of a request
-	// that gathers, marked with slice. It has room for all of them.
+	// events receives the parts and the end of a gathered request, marked with slice, in place
+	// of answer. It is buffered for all of them.
 	events chan<- *gatherEvent
 	slice  int
-	// claims is where attempts beyond the first of a shard are asked for; a zero token
-	// is for those that need not be.
+	// claims is where to claim attempts beyond the first of a shard; with a zero token they
+	// need no claim.
 	claims claimTarget
 }
 
-// end hands the result of a request on.
-func (s submitted) end(result scatter.Result) {
+// finish delivers the result of a request.
+func (s submission) finish(result scatter.Result) {
 	if s.events != nil {
 		s.events <- &gatherEvent{slice: s.slice, ended: true, lost: result.Missing, result: result}
 		return
@@ -67,24 +67,24 @@
 	s.answer <- result
 }
 
-// loopPorts are what a loop calls.
-type loopPorts struct {
+// loopCallbacks are the functions that a loop calls.
+type loopCallbacks struct {
 	claim   func(claimTarget, []int) error
-	observe func(sentAttempt)
+	observe func(endedAttempt)
 	rollout func(scatter.Observed)
 }
 
-func newLoop(engine *scatter.Engine, pool *exchange.Pool, ports loopPorts, logger logrus.FieldLogger) *loop {
+func newLoop(engine *scatter.Engine, pool *exchange.Pool, callbacks loopCallbacks, logger logrus.FieldLogger) *loop {
 	return &loop{
-		engine: engine, pool: pool, claim: ports.claim, observe: ports.observe, observeRollout: ports.rollout, logger: logger,
-		counting:  make(chan besideCount),
-		withdrawn: make(chan []quarantine.Fingerprint, withdrawnBacklog),
-		events:    make(chan scatter.Event, eventBacklog), requests: make(chan submitted, maxInFlight),
-		waiting:  make(map[scatter.RequestID]submitted),
-		attempts: make(map[scatter.AttemptID]*exchange.Attempt),
-		retired:  newRetiredServers(pool.Forget),
-		claiming: make(map[scatter.RequestID][]int),
-		timer:    time.NewTimer(time.Hour),
+		engine: engine, pool: pool, claim: callbacks.claim, observe: callbacks.observe, observeRollout: callbacks.rollout, logger: logger,
+		countRequests: make(chan countRequest),
+		withdrawn:     make(chan []quarantine.Fingerprint, withdrawnBacklog),
+		events:        make(chan scatter.Event, eventBacklog), requests: make(chan submission, maxInFlight),
+		pending:       make(map[scatter.RequestID]submission),
+		attempts:      make(map[scatter.AttemptID]*exchange.Attempt),
+		retired:       newRetiredServers(pool.Forget),
+		pendingClaims: make(map[scatter.RequestID][]int),
+		timer:         time.NewTimer(time.Hour),
 	}
 }
 
@@ -98,12 +98,12 @@
 			return
 		case event := <-l.events:
 			l.step(event)
-		case arriving := <-l.requests:
-			l.admit(arriving)
+		case incoming := <-l.requests:
+			l.admit(incoming)
 		case quarantined := <-l.withdrawn:
 			l.withdraw(quarantined)
-		case asked := <-l.counting:
-			l.count(asked)
+		case request := <-l.countRequests:
+			l.count(request)
 		case <-l.timer.C:
 			l.step(scatter.TimerFired{})
 		case <-prune.C:
@@ -112,20 +112,20 @@
 	}
 }
 
-func (l *loop) admit(arriving submitted) {
-	l.last++
-	arriving.arrived.ID = l.last
-	arriving.id <- l.last
-	arriving.encoded = l.pool.Encode(arriving.request.Request)
-	l.waiting[l.last] = arriving
-	l.step(arriving.arrived)
+func (l *loop) admit(incoming submission) {
+	l.lastID++
+	incoming.arrived.ID = l.lastID
+	incoming.id <- l.lastID
+	incoming.encoded = l.pool.Encode(incoming.request.Request)
+	l.pending[l.lastID] = incoming
+	l.step(incoming.arrived)
 }
 
 func (l *loop) step(event scatter.Event) {
 	switch event := event.(type) {
 	case scatter.Ended:
-		if out, ok := l.attempts[event.Attempt]; ok {
-			l.retired.ended(out.ServerID())
+		if running, ok := l.attempts[event.Attempt]; ok {
+			l.retired.ended(running.ServerID())
 			delete(l.attempts, event.Attempt)
 		}
 	case scatter.ServersGone:
@@ -134,62 +134,63 @@
 		}
 	case scatter.ServersChanged:
 		for _, changed := range event.Servers {
-			l.retired.change(changed)
+			l.retired.serverChanged(changed)
 		}
 	}
 	for _, command := range l.engine.Step(steadyclock.Now(), event) {
-		l.carryOut(command)
+		l.execute(command)
 	}
 	l.sendClaims()
-	l.tellNoted()
-	if gone, ok := event.(scatter.Abandoned); ok {
-		// Only now: a timer that was due in this step may have sent for it.
-		delete(l.waiting, gone.Request)
+	l.logStateChanges()
+	if abandoned, ok := event.(scatter.Abandoned); ok {
+		// Deleted only after the step: a timer that was due may have sent attempts for the
+		// request.
+		delete(l.pending, abandoned.Request)
 	}
 }
 
-func (l *loop) carryOut(command scatter.Command) {
+func (l *loop) execute(command scatter.Command) {
 	switch command := command.(type) {
 	case scatter.Send:
 		l.send(command)
 	case scatter.Claim:
-		l.claiming[command.Request] = append(l.claiming[command.Request], command.Shard)
+		l.pendingClaims[command.Request] = append(l.pendingClaims[command.Request], command.Shard)
 	case scatter.Abort:
-		if out, ok := l.attempts[command.Attempt]; ok {
-			out.Abort()
+		if running, ok := l.attempts[command.Attempt]; ok {
+			running.Abort()
 		}
 	case scatter.Respond:
-		if waiting, ok := l.waiting[command.Request]; ok {
-			delete(l.waiting, command.Request)
-			l.tellLacking(waiting.request.ID, command.Result)
-			waiting.end(command.Result)
+		if submitted, ok := l.pending[command.Request]; ok {
+			delete(l.pending, command.Request)
+			l.logMissingParts(submitted.request.ID, command.Result)
+			submitted.finish(command.Result)
 		}
 	case scatter.Dropped:
-		if waiting, ok := l.waiting[command.Request]; ok {
-			l.tellLacking(waiting.request.ID, command.Result)
+		if submitted, ok := l.pending[command.Request]; ok {
+			l.logMissingParts(submitted.request.ID, command.Result)
 		}
 	case scatter.Overdue:
-		if waiting, ok := l.waiting[command.Request]; ok {
-			l.tellOverdue(waiting, command.Result)
+		if submitted, ok := l.pending[command.Request]; ok {
+			l.logOverdueParts(submitted, command.Result)
 		}
 	case scatter.Part:
-		if waiting, ok := l.waiting[command.Request]; ok {
-			waiting.events <- &gatherEvent{slice: waiting.slice, part: command, at: steadyclock.Now()}
+		if submitted, ok := l.pending[command.Request]; ok {
+			submitted.events <- &gatherEvent{slice: submitted.slice, part: command, at: steadyclock.Now()}
 		}
 	case scatter.Wake:
 		l.timer.Reset(steadyclock.Until(command.At))
 	case scatter.Observed:
 		l.observeRollout(command)
 	case scatter.Noted:
-		l.noted = append(l.noted, command)
+		l.stateChanges = append(l.stateChanges, command)
 	}
 }
 
-// send starts an attempt. Its request is waited for, since the engine sends
-// nothing for requests that were answered.
+// send starts an attempt. Its request is pending, since the engine sends nothing for requests
+// that were answered.
 func (l *loop) send(command scatter.Send) {
-	waiting := l.waiting[command.Request]
-	attempt := l.pool.Start(waiting.encoded, command.Server, command.Deadline)
+	submitted := l.pending[command.Request]
+	attempt := l.pool.Start(submitted.encoded, command.Server, command.Deadline)
 	l.attempts[command.Attempt] = attempt
 	l.retired.sent(command.Server.ID)
 	began := steadyclock.Now()
@@ -197,6 +198,6 @@
 		outcome := attempt.Run()
 		took := steadyclock.Since(began)
 		l.events <- scatter.Ended{Attempt: command.Attempt, Outcome: outcome}
-		l.observe(sentAttempt{waiting: waiting, server: command.Server, outcome: outcome, took: took})
+		l.observe(endedAttempt{submitted: submitted, server: command.Server, outcome: outcome, took: took})
 	}()
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -18,17 +18,17 @@
 	misdirected    *prometheus.CounterVec
 	version        prometheus.Gauge
 	evacuated      prometheus.Gauge
-	// tenantRefusals are requests refused for their key or limit.
+	// tenantRefusals counts requests refused for their key or rate limit.
 	tenantRefusals *prometheus.CounterVec
 	metered        prometheus.Gauge
 	isolated       prometheus.Gauge
-	// Of requests that end servers.
+	// Requests that crash servers.
 	serversEnded       prometheus.Counter
 	refusedQuarantined prometheus.Counter
 	ordersDropped      prometheus.Counter
 	trials             *prometheus.CounterVec
 	quarantined        *prometheus.GaugeVec
-	// Of what the directory tells of servers.
+	// Server and node changes reported by the directory.
 	departures       prometheus.Counter
 	directoryChanges prometheus.Counter
 }
@@ -85,8 +85,8 @@
 	}
 }
 
-// watchView registers how old what the router knows of servers is, seconds.
-func (m *metrics) watchView(registerer prometheus.Registerer, age func() float64) {
+// registerViewAge registers the age, in seconds, of this router's knowledge of servers.
+func (m *metrics) registerViewAge(registerer prometheus.Registerer, age func() float64) {
 	promauto.With(registerer).NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "martenstage_gateway_view_age_seconds", Help: "Time since what this router knows of servers was last known to hold all that was acknowledged.",
 	}, age)
--- a/internal/gateway/one_way_test.go
+++ b/internal/gateway/one_way_test.go
@@ -18,12 +18,12 @@
 	"github.com/martenstage/martenstage/internal/scatter"
 )
 
-// startRouter starts a router that follows a directory, which answers by a stub, and that
-// serves other routers at an address. The servers are added to the stub.
+// startRouter starts a router that follows the given directory and serves other routers on a
+// listener. The servers are added to the stub.
 func startRouter(
 	t *testing.T, name, zone string, peers net.Listener, follow http.Handler, stub *directoryStub, servers map[string]http.HandlerFunc,
 ) *site {
-	s := startRouterOf(t, name, zone, peers, serve(t, follow))
+	s := startRouterWithSeed(t, name, zone, peers, serve(t, follow))
 	s.directory = stub
 	for service, handler := range servers {
 		stub.addServer("i-"+service, service, zone, serve(t, handler))
@@ -31,8 +31,8 @@
 	return s
 }
 
-// startRouterOf starts a router whose seed is a directory node.
-func startRouterOf(t *testing.T, name, zone string, peers net.Listener, node string) *site {
+// startRouterWithSeed starts a router whose seed is a directory node.
+func startRouterWithSeed(t *testing.T, name, zone string, peers net.Listener, node string) *site {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	s := &site{t: t}
@@ -44,8 +44,8 @@
 	return s
 }
 
-// deafPath passes on what comes in at a new address to a listener, and nothing back.
-func deafPath(t *testing.T, to string) string {
+// oneWayPath forwards what arrives at a new address to a listener, and drops all replies.
+func oneWayPath(t *testing.T, to string) string {
 	listener := listenLocal(t)
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
@@ -69,19 +69,19 @@
 	return listener.Addr().String()
 }
 
-// TestServersAskedStayWithinTheRouteWhenNothingIsHeardFromOthers has a router ask others,
-// by paths on which nothing comes back, for a shard whose servers are silent: the router
-// that was asked first would hedge, those that stand in for it ask as well, and over all
-// of them no more servers are asked than the route allows.
-func TestServersAskedStayWithinTheRouteWhenNothingIsHeardFromOthers(t *testing.T) {
+// TestAttemptsStayWithinRouteLimitWhenRepliesAreLost guards against more attempts than the
+// route allows. A router requests a shard whose servers do not respond from other routers,
+// over links that lose all replies: the first one would hedge, and the backup routers send
+// attempts as well.
+func TestAttemptsStayWithinRouteLimitWhenRepliesAreLost(t *testing.T) {
 	var mutex sync.Mutex
-	asked := map[string]int{}
+	requested := map[string]int{}
 	stub := &directoryStub{}
 	for count := range 12 {
 		number := strconv.Itoa(count)
 		address := serve(t, http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
 			mutex.Lock()
-			asked[number]++
+			requested[number]++
 			mutex.Unlock()
 			<-request.Context().Done()
 		}))
@@ -91,21 +91,21 @@
 	document := oneRoute(1, "t")
 	document.Routes[0].Targets, document.Routes[0].Shards = nil, []string{"t"}
 	document.Routes[0].Target, document.Routes[0].TopRecords, document.Routes[0].LeastShare = 100*time.Millisecond, 1, 1
-	asker := listenLocal(t)
+	requesterPeers := listenLocal(t)
 	for _, name := range []string{"other0", "other1", "other2"} {
 		peers := listenLocal(t)
 		startRouter(t, name, "b", peers, stub, stub, nil).install(document)
 		stub.mutex.Lock()
-		stub.reply.Routers = append(stub.reply.Routers, directory.ListedRouter{Name: name, Zone: "b", Address: deafPath(t, peers.Addr().String())})
+		stub.reply.Routers = append(stub.reply.Routers, directory.ListedRouter{Name: name, Zone: "b", Address: oneWayPath(t, peers.Addr().String())})
 		stub.mutex.Unlock()
 	}
-	s := startRouter(t, "asker", "a", asker, stub, stub, nil)
+	s := startRouter(t, "asker", "a", requesterPeers, stub, stub, nil)
 	s.install(document)
-	got := s.ask(http.MethodGet, "/a/", nil)
+	got := s.send(http.MethodGet, "/a/", nil)
 	require.GreaterOrEqual(t, got.status, 500)
 	time.Sleep(200 * time.Millisecond)
 	mutex.Lock()
 	defer mutex.Unlock()
-	require.NotEmpty(t, asked)
-	require.LessOrEqual(t, len(asked), document.Routes[0].MaxAttempts)
+	require.NotEmpty(t, requested)
+	require.LessOrEqual(t, len(requested), document.Routes[0].MaxAttempts)
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -16,57 +16,58 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// peerDoubt is how long a router that failed is not asked.
-const peerDoubt = 1500 * time.Millisecond
+// suspectDuration is for how long no slices are sent to a router that failed.
+const suspectDuration = 1500 * time.Millisecond
 
-// peers is what a router knows of the others, and of where servers are. It is
+// peers holds what a router knows of the other routers and of the placement of servers. It is
 // safe for concurrent use.
 type peers struct {
 	self slicing.Router
 
 	mutex   sync.Mutex
 	routers []slicing.Router
-	// calls is how many calls to servers of shards all routers make a second.
+	// calls is the rate of calls to servers of shards, over all routers, per second.
 	calls float64
-	// absent are those of them that the directory says are not to be asked.
-	absent   map[string]bool
-	doubted  map[string]time.Time
-	places   map[string]place
-	zones    map[string][]string
-	outdated bool
-	// isolated says that the routers of other zones are out of reach.
+	// absent are the routers that get no slices according to the directory.
+	absent        map[string]bool
+	suspected     map[string]time.Time
+	places        map[string]place
+	zones         map[string][]string
+	zonesOutdated bool
+	// isolated is set while the routers of other zones are unreachable.
 	isolated bool
-	// evacuated says which servers get nothing by an operator's order.
+	// evacuated tells which servers get no requests by order of an operator.
 	evacuated evacuation.View
-	// layouts are those of the lists of shards that were asked for, by the list's
-	// first element; they hold until something changes or a doubt ends.
-	layouts map[*string]*slicing.Layout
-	until   time.Time
-	// changed says that routers or places are others than those last counted.
+	// layouts caches the layout of each list of shards, by the address of the list's first
+	// element. A layout is valid until something changes or a suspicion expires.
+	layouts      map[*string]*slicing.Layout
+	layoutsUntil time.Time
+	// changed is set if the routers or placements differ from those last counted.
 	changed bool
 }
 
-// place is the service and zone of a server that may get work.
+// place is the service and zone of a server that can get requests.
 type place struct{ service, zone string }
 
 func newPeers(self slicing.Router) *peers {
 	return &peers{
-		self: self, doubted: make(map[string]time.Time), places: make(map[string]place),
+		self: self, suspected: make(map[string]time.Time), places: make(map[string]place),
 		layouts: make(map[*string]*slicing.Layout),
 	}
 }
 
-// setRouters replaces the routers that are known.
+// setRouters replaces the list of routers.
 func (p *peers) setRouters(routers []directory.ListedRouter) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.change()
+	p.invalidate()
 	p.routers = lo.Map(routers, func(r directory.ListedRouter, _ int) slicing.Router {
 		return slicing.Router{Name: r.Name, Zone: r.Zone, Address: r.Address, Identifies: r.Identifies}
 	})
 }
 
-// setAbsent replaces which routers are not to be asked now. That moves no share.
+// setAbsent replaces the routers that get no slices for now. It does not change which router
+// gathers which share.
 func (p *peers) setAbsent(names []string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -74,33 +75,33 @@
 	clear(p.layouts)
 }
 
-// setCalls takes in how many calls all routers make a second.
+// setCalls updates the rate of calls over all routers.
 func (p *peers) setCalls(calls float64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.calls != calls {
 		p.calls = calls
-		p.change()
+		p.invalidate()
 	}
 }
 
-// setEvacuated takes in which servers get nothing by an operator's order; also the same
-// again, since their services leave one after the other.
+// setEvacuated updates which servers get no requests by order of an operator. It is also
+// called with an unchanged view, since services are moved one after the other.
 func (p *peers) setEvacuated(view evacuation.View) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.evacuated, p.outdated = view, true
-	p.change()
+	p.evacuated, p.zonesOutdated = view, true
+	p.invalidate()
 }
 
-// change forgets what was worked out. The caller holds the mutex.
-func (p *peers) change() {
+// invalidate discards cached layouts and counts. The caller holds the mutex.
+func (p *peers) invalidate() {
 	p.changed = true
 	clear(p.layouts)
 }
 
-// setServers takes in changed servers and those that are gone.
-func (p *peers) setServers(changed []registry.Instance, gone []string) {
+// setServers updates changed servers and deletes removed ones.
+func (p *peers) setServers(changed []registry.Instance, removed []string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, instance := range changed {
@@ -110,31 +111,30 @@
 			delete(p.places, instance.ID)
 		}
 	}
-	for _, id := range gone {
+	for _, id := range removed {
 		delete(p.places, id)
 	}
-	if len(changed)+len(gone) > 0 {
-		p.outdated = true
-		p.change()
+	if len(changed)+len(removed) > 0 {
+		p.zonesOutdated = true
+		p.invalidate()
 	}
 }
 
-// doubt keeps a router from being asked for a while. It reports whether that is
-// news.
-func (p *peers) doubt(name string) bool {
+// suspect excludes a router that failed from gathering slices for a while. It reports whether
+// the router was not suspected before.
+func (p *peers) suspect(name string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := steadyclock.Now()
-	before := p.doubted[name]
-	p.doubted[name] = now.Add(peerDoubt)
+	before := p.suspected[name]
+	p.suspected[name] = now.Add(suspectDuration)
 	clear(p.layouts)
 	return now.After(before)
 }
 
-// countGatherers returns, for the shards of lists, how many routers gather each,
-// and whether that may differ from the last count. If there are more routers than
-// are listed, as many of them are taken to gather a shard in proportion, so that
-// none takes the share of one that is only out of sight.
+// countGatherers returns, for each shard of the lists, how many routers gather it, and whether
+// that may differ from the last count. If there are more routers than are listed, the counts
+// are scaled up, so that no router takes the share of one that is not listed yet.
 func (p *peers) countGatherers(lists [][]string, routerCount int) (map[string]scatter.Gatherers, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -156,22 +156,22 @@
 	return counted, true
 }
 
-// rank is the position of this router among those that are listed, by name.
+// rank is the position of this router among the listed ones, by name.
 func (p *peers) rank() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return lo.CountBy(p.routers, func(router slicing.Router) bool { return router.Name < p.self.Name })
 }
 
-// recount makes the next count a new one: the document or the number of routers
-// is another.
-func (p *peers) recount() {
+// invalidateCount makes the next count start anew after a change of the document or of the
+// number of routers.
+func (p *peers) invalidateCount() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.change()
+	p.invalidate()
 }
 
-// layout returns where the shards of a route can be gathered now.
+// layout returns which routers can gather the shards of a route now.
 func (p *peers) layout(shards []string) *slicing.Layout {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -181,33 +181,33 @@
 // layoutOf is layout for callers that hold the mutex.
 func (p *peers) layoutOf(shards []string) *slicing.Layout {
 	now := steadyclock.Now()
-	if !p.until.IsZero() && now.After(p.until) {
+	if !p.layoutsUntil.IsZero() && now.After(p.layoutsUntil) {
 		clear(p.layouts)
 	}
 	if known, ok := p.layouts[&shards[0]]; ok {
 		return known
 	}
 	p.updateZones()
-	routers, until := p.present(now)
+	routers, until := p.currentRouters(now)
 	if len(p.layouts) == 0 {
-		p.until = until
+		p.layoutsUntil = until
 	}
-	made := slicing.NewLayout(p.self, shards, slicing.Site{
+	built := slicing.NewLayout(p.self, shards, slicing.Site{
 		Zones: func(shard string) []string { return p.zones[shard] }, Routers: routers, Calls: p.calls,
 	})
-	p.layouts[&shards[0]] = made
-	return made
+	p.layouts[&shards[0]] = built
+	return built
 }
 
-// present returns the routers, of which doubted ones are absent, and when the
-// first doubt ends; zero for never.
-func (p *peers) present(now time.Time) ([]slicing.Router, time.Time) {
+// currentRouters returns the routers, with suspected ones marked absent, and when the first
+// suspicion expires; zero for never.
+func (p *peers) currentRouters(now time.Time) ([]slicing.Router, time.Time) {
 	var until time.Time
 	routers := slices.Clone(p.routers)
 	for index, router := range routers {
 		routers[index].Absent = p.absent[router.Name] || p.isolated && router.Zone != p.self.Zone
-		ends, doubted := p.doubted[router.Name]
-		if !doubted || now.After(ends) {
+		ends, suspected := p.suspected[router.Name]
+		if !suspected || now.After(ends) {
 			continue
 		}
 		routers[index].Absent = true
@@ -218,12 +218,12 @@
 	return routers, until
 }
 
-// updateZones works the zones of services out anew if servers have changed.
+// updateZones recomputes the zones of services if servers have changed.
 func (p *peers) updateZones() {
-	if !p.outdated {
+	if !p.zonesOutdated {
 		return
 	}
-	p.outdated = false
+	p.zonesOutdated = false
 	p.zones = make(map[string][]string)
 	now := steadyclock.Now()
 	for _, at := range p.places {
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -13,7 +13,7 @@
 	"github.com/martenstage/martenstage/internal/slicing"
 )
 
-// knownPeers knows two routers in the zone of the only server of a shard.
+// knownPeers returns peers with two routers in the zone of a shard's only server.
 func knownPeers() *peers {
 	known := newPeers(slicing.Router{Name: "self", Zone: "a"})
 	known.setRouters([]directory.ListedRouter{{Name: "r1", Zone: "b", Address: "x"}, {Name: "r2", Zone: "b", Address: "y"}})
@@ -21,27 +21,27 @@
 	return known
 }
 
-func TestDoubtedRouterIsNotAskedUntilTheDoubtEnds(t *testing.T) {
+func TestSuspectedRouterIsSkippedUntilTheSuspicionEnds(t *testing.T) {
 	known, shards := knownPeers(), []string{"s"}
 	first := known.layout(shards).Assign("request", shards)[0].Router.Name
-	require.True(t, known.doubt(first))
-	require.False(t, known.doubt(first), "a doubt that goes on is news")
+	require.True(t, known.suspect(first))
+	require.False(t, known.suspect(first), "a suspicion in effect is reported as new")
 	require.NotEqual(t, first, known.layout(shards).Assign("request", shards)[0].Router.Name)
 	past := time.Now().Add(-time.Millisecond)
-	known.doubted[first], known.until = past, past
+	known.suspected[first], known.layoutsUntil = past, past
 	require.Equal(t, first, known.layout(shards).Assign("request", shards)[0].Router.Name)
 }
 
-// TestGatherersAreCountedForRoutersOutOfSight takes no larger part where few of
-// the routers that there are can be seen, as after a restart of all.
-func TestGatherersAreCountedForRoutersOutOfSight(t *testing.T) {
+// TestGathererCountScalesToUnlistedRouters guards against a router that takes too large a
+// share while only few routers are listed, as after a restart of all.
+func TestGathererCountScalesToUnlistedRouters(t *testing.T) {
 	known, lists := knownPeers(), [][]string{{"s"}}
 	counted, changed := known.countGatherers(lists, 2)
 	require.True(t, changed)
 	require.Equal(t, map[string]scatter.Gatherers{"s": {Count: 2}}, counted)
 	_, changed = known.countGatherers(lists, 2)
 	require.False(t, changed)
-	known.recount()
+	known.invalidateCount()
 	counted, _ = known.countGatherers(lists, 7)
 	require.Equal(t, map[string]scatter.Gatherers{"s": {Count: 7}}, counted)
 }
--- a/internal/gateway/quarantining.go
+++ b/internal/gateway/quarantining.go
@@ -16,199 +16,200 @@
 	"github.com/martenstage/martenstage/internal/wait"
 )
 
-// Bounds of telling the directory of requests that end servers.
+// Bounds of reporting requests that crash servers to the directory.
 const (
-	// orderBacklog bounds the orders that wait to be told. Further ones are dropped and
-	// counted: a lost zone suspects what ran there, which is tried without harm, while a
-	// request that ends servers does so again.
+	// orderBacklog bounds the queued orders; further ones are dropped and counted. The loss of
+	// a zone makes many harmless requests suspected, whose trials succeed, while a request
+	// that crashes servers will crash another one and be reported again.
 	orderBacklog = 512
-	// orderGathering is for how long orders are put together into one message: what one
-	// request does to the servers of a slice shows within a few ms.
-	orderGathering = 3 * time.Millisecond
-	orderTimeout   = 300 * time.Millisecond
-	// orderRetry is the pause after all nodes were asked in vain.
-	orderRetry = 50 * time.Millisecond
-	// maxOrdersTold bounds the orders of one message.
-	maxOrdersTold = 64
+	// orderBatchDelay is how long orders are collected for one message: the crashes that a
+	// request causes at the servers of a slice show within a few ms.
+	orderBatchDelay = 3 * time.Millisecond
+	orderTimeout    = 300 * time.Millisecond
+	// orderRetryDelay is the pause after all nodes have failed.
+	orderRetryDelay = 50 * time.Millisecond
+	// maxOrdersPerMessage bounds the orders in one message.
+	maxOrdersPerMessage = 64
 )
 
-// quarantineWatch is what a router knows of requests that end servers, and tells of them.
-// It is safe for concurrent use.
-type quarantineWatch struct {
+// quarantineMonitor tracks the requests that crash servers and queues orders about them for
+// the directory. It is safe for concurrent use.
+type quarantineMonitor struct {
 	logger  logrus.FieldLogger
 	metrics *metrics
 	orders  chan quarantine.Order
 
 	mutex sync.Mutex
 	view  quarantine.View
-	// trying are the requests that this router tries now.
-	trying map[quarantine.Fingerprint]bool
+	// trials are the requests for which this router runs a trial now.
+	trials map[quarantine.Fingerprint]bool
 }
 
-func newQuarantineWatch(logger logrus.FieldLogger, metrics *metrics) *quarantineWatch {
-	return &quarantineWatch{logger: logger, metrics: metrics, orders: make(chan quarantine.Order, orderBacklog), trying: make(map[quarantine.Fingerprint]bool)}
+func newQuarantineMonitor(logger logrus.FieldLogger, metrics *metrics) *quarantineMonitor {
+	return &quarantineMonitor{logger: logger, metrics: metrics, orders: make(chan quarantine.Order, orderBacklog), trials: make(map[quarantine.Fingerprint]bool)}
 }
 
-// standing returns how a request is to be treated. While no server ended under any, it
-// costs nothing: the digest of a body of 8 MiB takes 6 ms.
-func (w *quarantineWatch) standing(request *fingerprinted) quarantine.Standing {
-	w.mutex.Lock()
-	empty := w.view.Empty()
-	w.mutex.Unlock()
+// standing returns how a request is to be treated. It costs nothing while no request is on
+// record, since the digest of a body of 8 MiB takes 6 ms.
+func (m *quarantineMonitor) standing(request *fingerprinted) quarantine.Standing {
+	m.mutex.Lock()
+	empty := m.view.Empty()
+	m.mutex.Unlock()
 	if empty {
 		return quarantine.Unknown
 	}
 	fingerprint := request.fingerprint()
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.view.Standing(fingerprint)
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.view.Standing(fingerprint)
 }
 
-// beginTrial reports whether this router may try a request now: one trial at a time. Each
-// that may is followed by endTrial.
-func (w *quarantineWatch) beginTrial(fingerprint quarantine.Fingerprint) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if w.trying[fingerprint] {
+// beginTrial reports whether this router may start a trial of a request; it runs one at a time
+// for each request. If so, endTrial must follow.
+func (m *quarantineMonitor) beginTrial(fingerprint quarantine.Fingerprint) bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if m.trials[fingerprint] {
 		return false
 	}
-	w.trying[fingerprint] = true
+	m.trials[fingerprint] = true
 	return true
 }
 
-func (w *quarantineWatch) endTrial(fingerprint quarantine.Fingerprint) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	delete(w.trying, fingerprint)
+func (m *quarantineMonitor) endTrial(fingerprint quarantine.Fingerprint) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	delete(m.trials, fingerprint)
 }
 
-// pending reports whether this router's report of a request is not known to have reached a
-// node.
-func (w *quarantineWatch) pending(fingerprint quarantine.Fingerprint) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.view.Pending(fingerprint)
+// pending reports whether this router has reported a crash for a request and no node is known
+// to have accepted the report.
+func (m *quarantineMonitor) pending(fingerprint quarantine.Fingerprint) bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.view.Pending(fingerprint)
 }
 
-// awaitTold waits until this router's reports of a request have reached a node, for as long as
-// telling one takes at most: without a leader harmless requests that are suspected go on.
-func (w *quarantineWatch) awaitTold(ctx context.Context, fingerprint quarantine.Fingerprint) {
-	bounded, cancel := context.WithTimeout(ctx, orderTimeout)
+// awaitReported waits until a node has accepted this router's reports about a request. It
+// waits at most for the duration of one call, so that suspected but harmless requests are
+// still served without a leader.
+func (m *quarantineMonitor) awaitReported(ctx context.Context, fingerprint quarantine.Fingerprint) {
+	timeoutCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	for bounded.Err() == nil && w.pending(fingerprint) {
-		wait.For(bounded, orderGathering)
+	for timeoutCtx.Err() == nil && m.pending(fingerprint) {
+		wait.For(timeoutCtx, orderBatchDelay)
 	}
 }
 
-// revision returns that of the book that was told last.
-func (w *quarantineWatch) revision() uint64 {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.view.Revision()
+// revision returns the revision of the quarantine table last received.
+func (m *quarantineMonitor) revision() uint64 {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.view.Revision()
 }
 
-// take takes in what a directory node told, and returns the requests that are quarantined
-// from now on.
-func (w *quarantineWatch) take(revision uint64, entries []quarantine.Entry) []quarantine.Fingerprint {
-	w.mutex.Lock()
-	before := w.view.Revision()
-	quarantined := w.view.Take(revision, entries)
-	changed := w.view.Revision() != before
-	suspectedCount, quarantinedCount := w.view.Counts()
-	w.mutex.Unlock()
+// update applies the entries received from a directory node, and returns the requests that
+// have become quarantined.
+func (m *quarantineMonitor) update(revision uint64, entries []quarantine.Entry) []quarantine.Fingerprint {
+	m.mutex.Lock()
+	before := m.view.Revision()
+	quarantined := m.view.Take(revision, entries)
+	changed := m.view.Revision() != before
+	suspectedCount, quarantinedCount := m.view.Counts()
+	m.mutex.Unlock()
 	if !changed {
 		return nil
 	}
-	w.metrics.quarantined.WithLabelValues(quarantine.Suspected.String()).Set(float64(suspectedCount))
-	w.metrics.quarantined.WithLabelValues(quarantine.Quarantined.String()).Set(float64(quarantinedCount))
-	added := lo.Map(lo.Slice(quarantined, 0, maxNotedTold), func(f quarantine.Fingerprint, _ int) string { return f.Short() })
-	w.logger.WithFields(logrus.Fields{
+	m.metrics.quarantined.WithLabelValues(quarantine.Suspected.String()).Set(float64(suspectedCount))
+	m.metrics.quarantined.WithLabelValues(quarantine.Quarantined.String()).Set(float64(quarantinedCount))
+	added := lo.Map(lo.Slice(quarantined, 0, maxLoggedItems), func(f quarantine.Fingerprint, _ int) string { return f.Short() })
+	m.logger.WithFields(logrus.Fields{
 		"revision": revision, "before": before, "suspected": suspectedCount, "quarantined": quarantinedCount, "added": added,
 	}).Info("quarantine_changed")
 	return quarantined
 }
 
-// report tells the directory, soon, that a server ended under a request.
-func (w *quarantineWatch) report(order quarantine.Order) {
-	w.mutex.Lock()
-	w.view.Reported(order.Fingerprint, order.Tried)
-	w.mutex.Unlock()
-	w.tell(order)
+// report queues a report that a server crashed while it ran a request.
+func (m *quarantineMonitor) report(order quarantine.Order) {
+	m.mutex.Lock()
+	m.view.Reported(order.Fingerprint, order.Tried)
+	m.mutex.Unlock()
+	m.enqueue(order)
 }
 
-// tell hands an order to the goroutine that tells them; it never waits.
-func (w *quarantineWatch) tell(order quarantine.Order) {
+// enqueue queues an order for sending. It never blocks.
+func (m *quarantineMonitor) enqueue(order quarantine.Order) {
 	select {
-	case w.orders <- order:
+	case m.orders <- order:
 	default:
-		w.metrics.ordersDropped.Inc()
-		w.acknowledged(order, 0)
+		m.metrics.ordersDropped.Inc()
+		m.acknowledge(order, 0)
 	}
 }
 
-// acknowledged takes in that a book of a revision holds an order; 0 for an order that was
-// dropped.
-func (w *quarantineWatch) acknowledged(order quarantine.Order, revision uint64) {
+// acknowledge records that the quarantine table of a revision contains an order; 0 for an
+// order that was dropped.
+func (m *quarantineMonitor) acknowledge(order quarantine.Order, revision uint64) {
 	if order.Kind != quarantine.Report {
 		return
 	}
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.view.Acknowledged(order.Fingerprint, revision)
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.view.Acknowledged(order.Fingerprint, revision)
 }
 
-// next waits for orders and returns those that came within a moment.
-func (w *quarantineWatch) next(ctx context.Context) []quarantine.Order {
-	var gathered []quarantine.Order
+// nextBatch waits for an order and returns it with those that follow within orderBatchDelay.
+func (m *quarantineMonitor) nextBatch(ctx context.Context) []quarantine.Order {
+	var batch []quarantine.Order
 	select {
 	case <-ctx.Done():
 		return nil
-	case first := <-w.orders:
-		gathered = append(gathered, first)
+	case first := <-m.orders:
+		batch = append(batch, first)
 	}
-	moment := time.NewTimer(orderGathering)
-	defer moment.Stop()
-	for len(gathered) < maxOrdersTold {
+	timer := time.NewTimer(orderBatchDelay)
+	defer timer.Stop()
+	for len(batch) < maxOrdersPerMessage {
 		select {
-		case another := <-w.orders:
-			gathered = append(gathered, another)
-		case <-moment.C:
-			return gathered
+		case another := <-m.orders:
+			batch = append(batch, another)
+		case <-timer.C:
+			return batch
 		case <-ctx.Done():
 			return nil
 		}
 	}
-	return gathered
+	return batch
 }
 
-// tellQuarantine tells the directory of requests that end servers until the context ends.
-// An order is given again until a node has it: the bound on attempts rests on it.
-func (f *follower) tellQuarantine(ctx context.Context) {
-	watch := f.gateway.quarantine
+// sendQuarantineOrders sends orders to the directory until the context ends. An order is
+// resent until a node accepts it, because the bound on attempts depends on it.
+func (f *follower) sendQuarantineOrders(ctx context.Context) {
+	monitor := f.gateway.quarantine
 	for ctx.Err() == nil {
-		orders := watch.next(ctx)
+		orders := monitor.nextBatch(ctx)
 		for len(orders) > 0 && ctx.Err() == nil {
-			reply, err := f.order(ctx, orders)
+			reply, err := f.postOrders(ctx, orders)
 			if err != nil {
 				f.gateway.logger.WithField("orders", len(orders)).WithField("reason", err).Info("quarantine_not_told")
-				time.Sleep(orderRetry)
+				time.Sleep(orderRetryDelay)
 				continue
 			}
 			for _, order := range orders {
-				watch.acknowledged(order, reply.Revision)
+				monitor.acknowledge(order, reply.Revision)
 			}
 			orders = nil
 		}
 	}
 }
 
-// order gives orders to the node that is followed or, if that fails, to the others.
-func (f *follower) order(ctx context.Context, orders []quarantine.Order) (reply directory.QuarantineReply, err error) {
+// postOrders posts orders to the followed node or, if that fails, to the other ones.
+func (f *follower) postOrders(ctx context.Context, orders []quarantine.Order) (reply directory.QuarantineReply, err error) {
 	err = errNoNode
-	for _, node := range f.reachable() {
+	for _, node := range f.nodesInOrder() {
 		err = f.call(ctx, node+directory.PathQuarantine, directory.QuarantineOrders{Orders: orders}, orderTimeout, &reply)
 		if err == nil && len(reply.Outcomes) != len(orders) {
-			err = errors.Newf("%s gave %d outcomes for %d orders", node, len(reply.Outcomes), len(orders))
+			err = errors.Newf("%s returned %d outcomes for %d orders", node, len(reply.Outcomes), len(orders))
 		}
 		if err == nil || ctx.Err() != nil {
 			return reply, err
@@ -217,31 +218,33 @@
 	return reply, err
 }
 
-// reachable returns the nodes to give orders to: the one that is followed comes first.
-func (f *follower) reachable() []string {
-	known := f.known.Load()
+// nodesInOrder returns the nodes in the order in which they are called, the followed one
+// first.
+func (f *follower) nodesInOrder() []string {
+	known := f.knownNodes.Load()
 	if known == nil {
 		return nil
 	}
 	return *known
 }
 
-// setReachable makes a node the one that gets orders first.
-func (f *follower) setReachable(first string) {
+// setNodesInOrder puts a node first in the order in which nodes are called.
+func (f *follower) setNodesInOrder(first string) {
 	nodes := append([]string{first}, lo.Without(f.nodes, first)...)
-	f.known.Store(&nodes)
+	f.knownNodes.Store(&nodes)
 }
 
-// takeQuarantine takes in which requests end servers.
-func (f *follower) takeQuarantine(reply directory.FollowReply) {
-	quarantined := f.gateway.quarantine.take(reply.Quarantine, reply.QuarantineEntries)
+// applyQuarantine applies a reply's quarantine entries and withdraws the requests that have
+// become quarantined.
+func (f *follower) applyQuarantine(reply directory.FollowReply) {
+	quarantined := f.gateway.quarantine.update(reply.Quarantine, reply.QuarantineEntries)
 	f.request.Quarantine = f.gateway.quarantine.revision()
 	if len(quarantined) > 0 {
 		f.gateway.loop.withdrawn <- quarantined
 	}
 }
 
-// fingerprinted is a request whose fingerprint is worked out once, when it is asked for.
+// fingerprinted is a request whose fingerprint is computed once, on first use.
 type fingerprinted struct {
 	*message.Request
 	fingerprint func() quarantine.Fingerprint
@@ -253,10 +256,10 @@
 	})}
 }
 
-// withdraw ends the requests that are quarantined from now on.
+// withdraw ends the pending requests that have become quarantined.
 func (l *loop) withdraw(quarantined []quarantine.Fingerprint) {
-	for id, waiting := range l.waiting {
-		if lo.Contains(quarantined, waiting.request.fingerprint()) {
+	for id, submitted := range l.pending {
+		if lo.Contains(quarantined, submitted.request.fingerprint()) {
 			l.step(scatter.Withdrawn{Request: id})
 		}
 	}
