--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -17,247 +17,249 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// Bounds of reporting to the directory what tenants spend, and asking it for tokens.
+// Bounds of reporting the spending of tenants to the directory and of requesting tokens.
 const (
-	// quotaGathering is the least time for which reports are put together, and
-	// quotaPerRouter of it for each router of the fleet, so that the leader gets 10,000
-	// messages a second at most; quotaLongest bounds both.
-	quotaGathering = 10 * time.Millisecond
-	quotaPerRouter = 100 * time.Microsecond
-	quotaLongest   = 500 * time.Millisecond
-	// quotaTimeout bounds a call to one node.
+	// Reports are collected for quotaBatchDelayPerRouter times the number of routers, so that
+	// the leader gets at most 10,000 messages a second, within the bounds of
+	// minQuotaBatchDelay and maxQuotaBatchDelay.
+	minQuotaBatchDelay       = 10 * time.Millisecond
+	quotaBatchDelayPerRouter = 100 * time.Microsecond
+	maxQuotaBatchDelay       = 500 * time.Millisecond
+	// quotaTimeout bounds a call to a node.
 	quotaTimeout = 250 * time.Millisecond
-	// quotaRetry is the pause before the next call while none comes through.
-	quotaRetry = 100 * time.Millisecond
-	// askBacklog bounds the requests that wait for a token; further ones are refused.
-	askBacklog = 512
-	// tokenSpread is within which time after the next token a refused request is told to
-	// come again, by its id, so that not all do at once.
-	tokenSpread = 300 * time.Millisecond
+	// quotaRetryDelay is the pause before the next call while no leader is reachable.
+	quotaRetryDelay = 100 * time.Millisecond
+	// tokenBacklog bounds the requests that wait for a token; further ones are refused.
+	tokenBacklog = 512
+	// tokenRetrySpread spreads the retries of refused requests over the time after the next
+	// token, by request id, so that not all come at once.
+	tokenRetrySpread = 300 * time.Millisecond
 )
 
-// quotaWatch decides about requests of tenants with a limit. It is safe for concurrent use.
-type quotaWatch struct {
+// quotaLimiter admits requests of tenants with a rate limit. It is safe for concurrent use.
+type quotaLimiter struct {
 	mutex sync.Mutex
 	gate  *quota.Gate
-	// gathering is for how long reports are put together.
-	gathering time.Duration
-	// asks are requests that wait for a token; wake is sent to when there is something to
-	// report.
-	asks chan tokenAsk
-	wake chan struct{}
+	// batchDelay is how long reports are collected.
+	batchDelay time.Duration
+	// tokenRequests are requests that wait for a token. notify is signaled when there is
+	// something to report.
+	tokenRequests chan tokenRequest
+	notify        chan struct{}
 }
 
-// tokenAsk is a request that waits for a token.
-type tokenAsk struct {
+// tokenRequest is a request that waits for a token.
+type tokenRequest struct {
 	tenant string
 	answer chan<- tokenAnswer
 }
 
-// tokenAnswer says whether a request may pass, else after how long there is another token.
+// tokenAnswer tells whether a request is admitted, and if not, when the next token is
+// available.
 type tokenAnswer struct {
 	granted bool
 	after   time.Duration
 }
 
-func newQuotaWatch(seed uint64) *quotaWatch {
-	return &quotaWatch{
-		gate: quota.NewGate(seed), gathering: quotaGathering,
-		asks: make(chan tokenAsk, askBacklog), wake: make(chan struct{}, 1),
+func newQuotaLimiter(seed uint64) *quotaLimiter {
+	return &quotaLimiter{
+		gate: quota.NewGate(seed), batchDelay: minQuotaBatchDelay,
+		tokenRequests: make(chan tokenRequest, tokenBacklog), notify: make(chan struct{}, 1),
 	}
 }
 
-func (w *quotaWatch) setLimits(limits map[string]quota.Limit) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.gate.SetLimits(limits)
+func (l *quotaLimiter) setLimits(limits map[string]quota.Limit) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.gate.SetLimits(limits)
 }
 
-func (w *quotaWatch) setRouters(count int) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.gate.SetRouters(count)
-	w.gathering = min(quotaLongest, max(quotaGathering, time.Duration(count)*quotaPerRouter))
+func (l *quotaLimiter) setRouters(count int) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.gate.SetRouters(count)
+	l.batchDelay = min(maxQuotaBatchDelay, max(minQuotaBatchDelay, time.Duration(count)*quotaBatchDelayPerRouter))
 }
 
-func (w *quotaWatch) setMetered(tenants []string) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.gate.SetMetered(tenants)
+func (l *quotaLimiter) setMetered(tenants []string) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.gate.SetMetered(tenants)
 }
 
-// lose takes in that no directory node is heard.
-func (w *quotaWatch) lose() {
-	w.mutex.Lock()
-	w.gate.Lose()
-	w.mutex.Unlock()
-	w.rouse()
+// disconnect records that no directory node is reachable.
+func (l *quotaLimiter) disconnect() {
+	l.mutex.Lock()
+	l.gate.Lose()
+	l.mutex.Unlock()
+	l.signal()
 }
 
-func (w *quotaWatch) rouse() {
+func (l *quotaLimiter) signal() {
 	select {
-	case w.wake <- struct{}{}:
+	case l.notify <- struct{}{}:
 	default:
 	}
 }
 
-// admit returns whether a request of a tenant may pass, else after how long it may come again.
-// It waits for a token where that is needed, until the context ends.
-func (w *quotaWatch) admit(ctx context.Context, tenant string) tokenAnswer {
-	decision, after := w.decide(tenant)
+// admit returns whether a request of a tenant is admitted, and if not, when to retry it. Where
+// a token is needed, it waits for one until the context ends.
+func (l *quotaLimiter) admit(ctx context.Context, tenant string) tokenAnswer {
+	decision, after := l.decide(tenant)
 	if decision != quota.Ask {
 		return tokenAnswer{granted: decision == quota.Pass, after: after}
 	}
 	answer := make(chan tokenAnswer, 1)
 	select {
-	case w.asks <- tokenAsk{tenant: tenant, answer: answer}:
+	case l.tokenRequests <- tokenRequest{tenant: tenant, answer: answer}:
 	default:
-		return tokenAnswer{after: tokenSpread}
+		return tokenAnswer{after: tokenRetrySpread}
 	}
 	select {
 	case given := <-answer:
 		return given
 	case <-ctx.Done():
-		return tokenAnswer{after: tokenSpread}
+		return tokenAnswer{after: tokenRetrySpread}
 	}
 }
 
-func (w *quotaWatch) decide(tenant string) (quota.Decision, time.Duration) {
-	w.mutex.Lock()
-	decision, after := w.gate.Admit(steadyclock.Now(), tenant)
-	w.mutex.Unlock()
+func (l *quotaLimiter) decide(tenant string) (quota.Decision, time.Duration) {
+	l.mutex.Lock()
+	decision, after := l.gate.Admit(steadyclock.Now(), tenant)
+	l.mutex.Unlock()
 	if decision == quota.Pass {
-		w.rouse()
+		l.signal()
 	}
 	return decision, after
 }
 
-// quotaRound is one message with the requests that wait for its answer.
+// quotaRound is a message and the requests that wait for its reply.
 type quotaRound struct {
-	message quota.Message
-	asks    []tokenAsk
+	message  quota.Message
+	requests []tokenRequest
 }
 
-// alone reports whether no leader is known to be reached.
-func (w *quotaWatch) alone() bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.gate.Alone()
+// leaderUnreachable reports whether no leader is known to be reachable.
+func (l *quotaLimiter) leaderUnreachable() bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.gate.Alone()
 }
 
-// next waits until there is something to tell and returns it. While no leader is reached it
-// returns also with nothing, after a pause, to find out whether one is again.
-func (w *quotaWatch) next(ctx context.Context) (round quotaRound, ok bool) {
+// next waits until there is something to report and returns it. While no leader is reachable
+// it also returns an empty round after a pause, to detect when one is reachable again.
+func (l *quotaLimiter) next(ctx context.Context) (round quotaRound, ok bool) {
 	var pause <-chan time.Time
-	if w.alone() {
-		pause = time.After(quotaRetry)
+	if l.leaderUnreachable() {
+		pause = time.After(quotaRetryDelay)
 	}
 	select {
 	case <-ctx.Done():
 		return round, false
-	case first := <-w.asks:
-		round.asks = append(round.asks, first)
-	case <-w.wake:
-		w.gather(ctx, &round)
+	case first := <-l.tokenRequests:
+		round.requests = append(round.requests, first)
+	case <-l.notify:
+		l.collect(ctx, &round)
 	case <-pause:
 	}
-	round.asks = append(round.asks, w.waiting()...)
-	round.message.Wanted = lo.CountValuesBy(round.asks, func(ask tokenAsk) string { return ask.tenant })
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	round.message.Spent = w.gate.TakeSpent()
+	round.requests = append(round.requests, l.queuedRequests()...)
+	round.message.Wanted = lo.CountValuesBy(round.requests, func(queued tokenRequest) string { return queued.tenant })
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	round.message.Spent = l.gate.TakeSpent()
 	return round, true
 }
 
-// waiting returns the requests that wait for a token now.
-func (w *quotaWatch) waiting() (asks []tokenAsk) {
-	for len(asks) < askBacklog {
+// queuedRequests returns the requests that wait for a token now.
+func (l *quotaLimiter) queuedRequests() (requests []tokenRequest) {
+	for len(requests) < tokenBacklog {
 		select {
-		case another := <-w.asks:
-			asks = append(asks, another)
+		case another := <-l.tokenRequests:
+			requests = append(requests, another)
 		default:
-			return asks
+			return requests
 		}
 	}
-	return asks
+	return requests
 }
 
-// gather waits for more to report, or for a request that needs a token.
-func (w *quotaWatch) gather(ctx context.Context, round *quotaRound) {
-	w.mutex.Lock()
-	moment := time.NewTimer(w.gathering)
-	w.mutex.Unlock()
-	defer moment.Stop()
+// collect waits for further reports or for a request that needs a token.
+func (l *quotaLimiter) collect(ctx context.Context, round *quotaRound) {
+	l.mutex.Lock()
+	timer := time.NewTimer(l.batchDelay)
+	l.mutex.Unlock()
+	defer timer.Stop()
 	select {
-	case <-moment.C:
-	case first := <-w.asks:
-		round.asks = append(round.asks, first)
+	case <-timer.C:
+	case first := <-l.tokenRequests:
+		round.requests = append(round.requests, first)
 	case <-ctx.Done():
 	}
 }
 
-// settle hands out what a round brought.
-func (w *quotaWatch) settle(round quotaRound, reply quota.Reply) {
-	w.mutex.Lock()
-	w.gate.Reached(steadyclock.Now(), round.message.Spent, reply)
-	w.mutex.Unlock()
-	left := lo.MapValues(reply.Grants, func(given quota.Grant, _ string) int { return given.Granted })
-	for _, ask := range round.asks {
-		if left[ask.tenant] > 0 {
-			left[ask.tenant]--
-			ask.answer <- tokenAnswer{granted: true}
+// complete distributes the tokens granted in a round.
+func (l *quotaLimiter) complete(round quotaRound, reply quota.Reply) {
+	l.mutex.Lock()
+	l.gate.Reached(steadyclock.Now(), round.message.Spent, reply)
+	l.mutex.Unlock()
+	remaining := lo.MapValues(reply.Grants, func(given quota.Grant, _ string) int { return given.Granted })
+	for _, queued := range round.requests {
+		if remaining[queued.tenant] > 0 {
+			remaining[queued.tenant]--
+			queued.answer <- tokenAnswer{granted: true}
 			continue
 		}
-		ask.answer <- tokenAnswer{after: reply.Grants[ask.tenant].Next}
+		queued.answer <- tokenAnswer{after: reply.Grants[queued.tenant].Next}
 	}
 }
 
-// fail takes a round back that reached no leader. Its requests go by this router's share.
-func (w *quotaWatch) fail(round quotaRound) {
-	w.mutex.Lock()
-	w.gate.Return(round.message.Spent)
-	w.mutex.Unlock()
-	for _, ask := range round.asks {
-		decision, after := w.decide(ask.tenant)
-		ask.answer <- tokenAnswer{granted: decision == quota.Pass, after: after}
+// fail returns the spending of a round that reached no leader. Its requests are decided by
+// this router's share of the limit.
+func (l *quotaLimiter) fail(round quotaRound) {
+	l.mutex.Lock()
+	l.gate.Return(round.message.Spent)
+	l.mutex.Unlock()
+	for _, queued := range round.requests {
+		decision, after := l.decide(queued.tenant)
+		queued.answer <- tokenAnswer{granted: decision == quota.Pass, after: after}
 	}
 }
 
-// tellQuota reports what tenants spend and asks for tokens until the context ends.
-func (f *follower) tellQuota(ctx context.Context) {
-	watch, told := f.gateway.quotas, false
-	// A start is a sender of its own, so that its messages count from one.
-	sender := f.gateway.config.Name + "/" + time.Now().Format(time.RFC3339Nano) // The wall clock: it only tells starts apart.
+// reportQuota reports the spending of tenants and requests tokens until the context ends.
+func (f *follower) reportQuota(ctx context.Context) {
+	limiter, logged := f.gateway.quotas, false
+	// Each start of a router is a separate sender, so that its sequence numbers start at one.
+	sender := f.gateway.config.Name + "/" + time.Now().Format(time.RFC3339Nano) // Wall clock time, used only to distinguish starts.
 	for sequence := uint64(1); ; sequence++ {
-		round, ok := watch.next(ctx)
+		round, ok := limiter.next(ctx)
 		if !ok {
 			return
 		}
-		if len(round.message.Spent)+len(round.asks) == 0 && !watch.alone() {
+		if len(round.message.Spent)+len(round.requests) == 0 && !limiter.leaderUnreachable() {
 			continue
 		}
 		round.message.Router, round.message.Sequence = sender, sequence
 		reply, err := f.postQuota(ctx, round.message)
 		if err != nil {
-			watch.fail(round)
+			limiter.fail(round)
 		} else {
-			watch.settle(round, reply)
+			limiter.complete(round, reply)
 		}
-		if alone := watch.alone(); alone != told {
-			told = alone
-			f.gateway.logger.WithField("alone", alone).WithField("reason", err).Info("quota_reports_changed")
+		if unreachable := limiter.leaderUnreachable(); unreachable != logged {
+			logged = unreachable
+			f.gateway.logger.WithField("alone", unreachable).WithField("reason", err).Info("quota_reports_changed")
 		}
 	}
 }
 
-// postQuota sends a message to the node that is followed or, if that fails, to others.
-func (f *follower) postQuota(ctx context.Context, told quota.Message) (reply quota.Reply, err error) {
-	err = f.callEither(ctx, directory.PathQuota, told, quotaTimeout, &reply)
+// postQuota posts a message to the followed node or, if that fails, to another one.
+func (f *follower) postQuota(ctx context.Context, message quota.Message) (reply quota.Reply, err error) {
+	err = f.callAnyNode(ctx, directory.PathQuota, message, quotaTimeout, &reply)
 	return reply, errors.Wrap(err, "the quota is not told")
 }
 
-// takeMetered takes in which tenants need a token for each request.
-func (f *follower) takeMetered(reply directory.FollowReply) {
+// applyMetered updates which tenants need a token for each request.
+func (f *follower) applyMetered(reply directory.FollowReply) {
 	if reply.MeteredDigest == f.request.Metered {
 		return
 	}
@@ -265,10 +267,10 @@
 	f.gateway.quotas.setMetered(reply.Metered)
 	f.gateway.metrics.metered.Set(float64(len(reply.Metered)))
 	f.gateway.logger.WithField("tenants", len(reply.Metered)).
-		WithField("some", lo.Slice(reply.Metered, 0, maxNotedTold)).Info("metered_tenants_changed")
+		WithField("some", lo.Slice(reply.Metered, 0, maxLoggedItems)).Info("metered_tenants_changed")
 }
 
-// refuseOverQuota refuses a request of a tenant that has used its limit up. It reports
+// refuseOverQuota refuses a request of a tenant that has used up its rate limit. It reports
 // whether it did.
 func (s *exchangeState) refuseOverQuota() bool {
 	if s.tenant == nil || s.tenant.Rate <= 0 {
@@ -280,15 +282,15 @@
 	if given.granted {
 		return false
 	}
-	spread := time.Duration(float64(tokenSpread) * float64(xxhash.Sum64String(s.id)>>11) / (1 << 53))
-	s.refuse(http.StatusTooManyRequests, verdict.ReasonOverQuota, max(given.after, minimalWait)+spread)
+	spread := time.Duration(float64(tokenRetrySpread) * float64(xxhash.Sum64String(s.id)>>11) / (1 << 53))
+	s.refuse(http.StatusTooManyRequests, verdict.ReasonOverQuota, max(given.after, minRetryAfter)+spread)
 	return true
 }
 
-// minimalWait is the least time that a refused request is told to wait.
-const minimalWait = 50 * time.Millisecond
+// minRetryAfter is the least delay after which a refused request may be retried.
+const minRetryAfter = 50 * time.Millisecond
 
-// setLimits takes in the limits of a document.
+// setLimits applies the rate limits of a document.
 func (g *Gateway) setLimits(document *routing.Document) {
 	g.quotas.setLimits(quota.LimitsOf(document.Tenants))
 }
--- a/internal/gateway/rate.go
+++ b/internal/gateway/rate.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// rateHalfLife is the age at which half of what a rate goes by is of events since.
+// rateHalfLife is the age at which the weight of past events has halved.
 const rateHalfLife = 2 * time.Second
 
-// rate is how often something happens. Events may be counted by any goroutine; one
-// asks for the rate.
+// rate is an exponentially weighted event rate. Any goroutine may add events; only one may
+// read the rate.
 type rate struct {
-	count  atomic.Int64
-	read   int64
-	at     time.Time
-	second float64
+	count     atomic.Int64
+	lastCount int64
+	lastTime  time.Time
+	value     float64
 }
 
 // add counts events.
 func (r *rate) add(events int) { r.count.Add(int64(events)) }
 
-// perSecond returns how many events came a second, lately.
+// perSecond returns the recent rate of events per second.
 func (r *rate) perSecond(now time.Time) float64 {
 	count := r.count.Load()
-	passed := now.Sub(r.at)
-	if r.at.IsZero() || passed <= 0 {
-		r.read, r.at = count, now
-		return r.second
+	passed := now.Sub(r.lastTime)
+	if r.lastTime.IsZero() || passed <= 0 {
+		r.lastCount, r.lastTime = count, now
+		return r.value
 	}
 	weight := 1 - math.Exp2(-float64(passed)/float64(rateHalfLife))
-	r.second += weight * (float64(count-r.read)/passed.Seconds() - r.second)
-	r.read, r.at = count, now
-	return r.second
+	r.value += weight * (float64(count-r.lastCount)/passed.Seconds() - r.value)
+	r.lastCount, r.lastTime = count, now
+	return r.value
 }
--- a/internal/gateway/rate_test.go
+++ b/internal/gateway/rate_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRateFollowsWhatIsCounted(t *testing.T) {
+func TestRateFollowsTheCount(t *testing.T) {
 	var calls rate
 	now := time.Unix(1000, 0)
 	require.Zero(t, calls.perSecond(now))
--- a/internal/gateway/records.go
+++ b/internal/gateway/records.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// recordBytes is the length of a record; records are ordered byte by byte.
+// recordBytes is the length of a record. Records are ordered bytewise.
 const recordBytes = 16
 
-// record is one as two numbers, which are in the order of its bytes.
+// record is a record as two big-endian integers, which have the order of its bytes.
 type record struct{ high, low uint64 }
 
 func readRecord(body []byte) record {
@@ -23,15 +23,15 @@
 	return r.low < other.low
 }
 
-// falling orders the greatest record first.
-func falling(a, b record) int {
+// descending orders the greatest record first.
+func descending(a, b record) int {
 	return cmp.Or(cmp.Compare(b.high, a.high), cmp.Compare(b.low, a.low))
 }
 
-// greatestRecords returns the greatest records of all parts, greatest first.
-// Equal records all count; a remainder shorter than a record is none. Records are held as
-// numbers: of 14 parts of 1,000 bytes 50 take 12 microseconds, and 37 as slices of bytes
-// in a heap of the library (BenchmarkGreatestRecords).
+// greatestRecords returns the greatest records of all parts, in descending order. Duplicates
+// are kept; a trailing fragment shorter than a record is ignored. Records are held as
+// integers: merging 14 parts of 1,000 bytes into 50 records takes 12 microseconds, against 37
+// with byte slices in a heap of the library (BenchmarkGreatestRecords).
 func greatestRecords(parts [][]byte, limit int) []byte {
 	kept := make([]record, 0, limit)
 	for _, body := range parts {
@@ -39,7 +39,7 @@
 			kept = keepGreatest(kept, readRecord(body), limit)
 		}
 	}
-	slices.SortFunc(kept, falling)
+	slices.SortFunc(kept, descending)
 	merged := make([]byte, 0, len(kept)*recordBytes)
 	for _, each := range kept {
 		merged = binary.BigEndian.AppendUint64(merged, each.high)
@@ -48,8 +48,8 @@
 	return merged
 }
 
-// keepGreatest adds a record to those kept, which are a heap with the least one first
-// once there are as many as the limit.
+// keepGreatest adds a record to those kept, which form a min-heap once they have reached the
+// limit.
 func keepGreatest(kept []record, added record, limit int) []record {
 	switch {
 	case len(kept) < limit:
@@ -66,7 +66,7 @@
 	return kept
 }
 
-// siftDown restores the heap below a position.
+// siftDown restores the heap order below a position.
 func siftDown(heap []record, position int) {
 	for {
 		least := 2*position + 1
--- a/internal/gateway/records_test.go
+++ b/internal/gateway/records_test.go
@@ -15,7 +15,8 @@
 		var parts [][]byte
 		var all [][]byte
 		for range rapid.IntRange(0, 5).Draw(t, "parts") {
-			// Few values, so that equal records meet; a remainder is no record.
+			// Few distinct values, so that equal records occur; a trailing fragment is no
+			// record.
 			body := rapid.SliceOfN(rapid.ByteRange(0, 1), 0, 100).Draw(t, "body")
 			parts = append(parts, body)
 			for record := range slices.Chunk(body, recordBytes) {
--- a/internal/gateway/retired_servers_test.go
+++ b/internal/gateway/retired_servers_test.go
@@ -8,23 +8,23 @@
 	"github.com/martenstage/martenstage/internal/scatter"
 )
 
-// TestConnectionOfAnAttemptOutlivesItsServer guards against a connection that is kept by an attempt which
-// ends after its server was replaced or forgotten, and against a set that only grows.
-func TestConnectionOfAnAttemptOutlivesItsServer(t *testing.T) {
+// TestConnectionsToRetiredServersAreClosed guards against connections kept by attempts that
+// end after their server was replaced or removed, and against sets that grow without bound.
+func TestConnectionsToRetiredServersAreClosed(t *testing.T) {
 	var forgotten []string
 	r := newRetiredServers(func(id string) { forgotten = append(forgotten, id) })
 	r.sent("gone")
 	r.sent("gone")
 	r.sent("back")
 	r.retire("gone")
-	r.change(scatter.Server{ID: "back", Replaced: true})
-	r.change(scatter.Server{ID: "back"})
-	r.change(scatter.Server{ID: "idle", Replaced: true})
+	r.serverChanged(scatter.Server{ID: "back", Replaced: true})
+	r.serverChanged(scatter.Server{ID: "back"})
+	r.serverChanged(scatter.Server{ID: "idle", Replaced: true})
 	require.Equal(t, []string{"gone", "back", "idle"}, forgotten)
 	r.ended("gone")
 	r.ended("back")
 	r.ended("gone")
 	require.Equal(t, []string{"gone", "back", "idle", "gone", "gone"}, forgotten)
-	require.Empty(t, r.out)
+	require.Empty(t, r.inFlight)
 	require.Empty(t, r.retired)
 }
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -13,82 +13,83 @@
 	"github.com/martenstage/martenstage/internal/scatter"
 )
 
-// Times of telling what is observed of roll-outs.
+// Times of reporting observations of rollouts.
 const (
-	// rolloutTelling is how often that is told while one runs: a bad version gets requests
-	// for that much longer.
-	rolloutTelling = 250 * time.Millisecond
-	rolloutTimeout = 400 * time.Millisecond
+	// rolloutReportInterval is how often observations are reported while a rollout runs. A bad
+	// version gets requests for that much longer.
+	rolloutReportInterval = 250 * time.Millisecond
+	rolloutTimeout        = 400 * time.Millisecond
 )
 
-// rolloutWatch holds what this router observed of the roll-outs that run. It is safe for
+// rolloutMonitor holds this router's observations of the running rollouts. It is safe for
 // concurrent use.
-type rolloutWatch struct {
+type rolloutMonitor struct {
 	mutex    sync.Mutex
 	revision uint64
-	told     map[string]directory.RolloutTold
+	rollouts map[string]directory.RolloutTold
 	evidence map[string]rollout.Evidence
 }
 
-func newRolloutWatch() *rolloutWatch {
-	return &rolloutWatch{told: make(map[string]directory.RolloutTold), evidence: make(map[string]rollout.Evidence)}
+func newRolloutMonitor() *rolloutMonitor {
+	return &rolloutMonitor{rollouts: make(map[string]directory.RolloutTold), evidence: make(map[string]rollout.Evidence)}
 }
 
-// take takes the roll-outs in, and returns what routers may send where.
-func (w *rolloutWatch) take(revision uint64, told map[string]directory.RolloutTold) map[string]rollout.Rule {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	maps.DeleteFunc(w.evidence, func(service string, _ rollout.Evidence) bool {
-		return told[service].Number != w.told[service].Number || !told[service].Phase.Running()
+// update applies the state of all rollouts, and returns the rules for routing to their
+// services.
+func (m *rolloutMonitor) update(revision uint64, published map[string]directory.RolloutTold) map[string]rollout.Rule {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	maps.DeleteFunc(m.evidence, func(service string, _ rollout.Evidence) bool {
+		return published[service].Number != m.rollouts[service].Number || !published[service].Phase.Running()
 	})
-	w.revision, w.told = revision, told
-	return lo.MapValues(told, func(of directory.RolloutTold, _ string) rollout.Rule { return of.Rule })
+	m.revision, m.rollouts = revision, published
+	return lo.MapValues(published, func(of directory.RolloutTold, _ string) rollout.Rule { return of.Rule })
 }
 
-// observe takes in how an attempt ended.
-func (w *rolloutWatch) observe(observed scatter.Observed) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if !w.told[observed.Service].Phase.Running() {
+// observe records how an attempt ended.
+func (m *rolloutMonitor) observe(observed scatter.Observed) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if !m.rollouts[observed.Service].Phase.Running() {
 		return
 	}
-	if w.evidence[observed.Service] == nil {
-		w.evidence[observed.Service] = rollout.Evidence{}
+	if m.evidence[observed.Service] == nil {
+		m.evidence[observed.Service] = rollout.Evidence{}
 	}
-	w.evidence[observed.Service].Observe(observed.Route, observed.New, observed.Bad, observed.Took)
+	m.evidence[observed.Service].Observe(observed.Route, observed.New, observed.Bad, observed.Took)
 }
 
-// running returns the targets of the roll-outs that run, by service.
-func (w *rolloutWatch) running() map[string]string {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+// running returns the target versions of the running rollouts, by service.
+func (m *rolloutMonitor) running() map[string]string {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
 	targets := make(map[string]string)
-	for service, told := range w.told {
-		if told.Phase.Running() {
-			targets[service] = told.Target
+	for service, state := range m.rollouts {
+		if state.Phase.Running() {
+			targets[service] = state.Target
 		}
 	}
 	return targets
 }
 
-// report returns what to tell, with the attempts that are out at old servers.
-func (w *rolloutWatch) report(old map[string]int) directory.RolloutReport {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	report := directory.RolloutReport{Revision: w.revision, Services: make(map[string]directory.ServiceReport, len(old))}
+// report returns the report to send, given the attempts in flight at servers of old versions.
+func (m *rolloutMonitor) report(old map[string]int) directory.RolloutReport {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	report := directory.RolloutReport{Revision: m.revision, Services: make(map[string]directory.ServiceReport, len(old))}
 	for service, count := range old {
 		sums := rollout.Evidence{}
-		sums.Add(w.evidence[service])
-		report.Services[service] = directory.ServiceReport{Number: w.told[service].Number, Evidence: sums, Old: count}
+		sums.Add(m.evidence[service])
+		report.Services[service] = directory.ServiceReport{Number: m.rollouts[service].Number, Evidence: sums, Old: count}
 	}
 	return report
 }
 
-// tellRollouts tells the directory what is observed of the roll-outs that run, until the
+// reportRollouts reports observations of the running rollouts to the directory, until the
 // context ends.
-func (f *follower) tellRollouts(ctx context.Context) {
-	start := f.gateway.config.Name + "/" + time.Now().Format(time.RFC3339Nano) // The wall clock: it only tells starts apart.
-	ticker := time.NewTicker(rolloutTelling)
+func (f *follower) reportRollouts(ctx context.Context) {
+	incarnation := f.gateway.config.Name + "/" + time.Now().Format(time.RFC3339Nano) // Wall clock time, used only to distinguish starts.
+	ticker := time.NewTicker(rolloutReportInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -100,42 +101,43 @@
 		if len(targets) == 0 {
 			continue
 		}
-		report := f.gateway.rollouts.report(f.gateway.loop.countBeside(ctx, targets))
-		report.Router, report.Start = f.gateway.config.Name, start
-		if err := f.callEither(ctx, directory.PathRollouts, report, rolloutTimeout, nil); err != nil {
+		report := f.gateway.rollouts.report(f.gateway.loop.countOtherVersions(ctx, targets))
+		report.Router, report.Start = f.gateway.config.Name, incarnation
+		if err := f.callAnyNode(ctx, directory.PathRollouts, report, rolloutTimeout, nil); err != nil {
 			f.gateway.logger.WithField("services", len(targets)).WithField("reason", err).Info("rollouts_not_told")
 		}
 	}
 }
 
-// takeRollouts takes in which servers of services with a roll-out calls may go to.
-func (f *follower) takeRollouts(reply directory.FollowReply) {
+// applyRollouts applies which servers may be called of services with a rollout.
+func (f *follower) applyRollouts(reply directory.FollowReply) {
 	if reply.RolloutRevision <= f.request.Rollouts {
 		return
 	}
 	f.request.Rollouts = reply.RolloutRevision
-	rules := f.gateway.rollouts.take(reply.RolloutRevision, reply.Rollouts)
+	rules := f.gateway.rollouts.update(reply.RolloutRevision, reply.Rollouts)
 	f.gateway.loop.events <- scatter.RolloutsChanged{Rules: rules}
 	for service, rule := range rules {
-		if rule.Phase.Running() || len(rules) <= maxNotedTold {
+		if rule.Phase.Running() || len(rules) <= maxLoggedItems {
 			f.gateway.logger.WithField("service", service).WithField("target", rule.Target).WithField("phase", rule.Phase).
 				WithField("share", rule.Share).WithField("revision", reply.RolloutRevision).Info("rollout_changed")
 		}
 	}
 }
 
-// besideCount asks the engine's goroutine for the attempts that are out at servers of services
-// that are not of a version.
-type besideCount struct {
+// countRequest asks the engine's goroutine for the number of attempts in flight at servers of
+// other versions than the target version, by service.
+type countRequest struct {
 	targets map[string]string
 	counts  chan<- map[string]int
 }
 
-// countBeside returns, by service, the attempts that are out beside the target version.
-func (l *loop) countBeside(ctx context.Context, targets map[string]string) map[string]int {
+// countOtherVersions returns, by service, the number of attempts in flight at servers of other
+// versions than the target version.
+func (l *loop) countOtherVersions(ctx context.Context, targets map[string]string) map[string]int {
 	counts := make(chan map[string]int, 1)
 	select {
-	case l.counting <- besideCount{targets: targets, counts: counts}:
+	case l.countRequests <- countRequest{targets: targets, counts: counts}:
 	case <-ctx.Done():
 		return nil
 	}
@@ -147,8 +149,8 @@
 	}
 }
 
-func (l *loop) count(asked besideCount) {
-	asked.counts <- lo.MapValues(asked.targets, func(target, service string) int {
+func (l *loop) count(request countRequest) {
+	request.counts <- lo.MapValues(request.targets, func(target, service string) int {
 		return l.engine.InFlightBeside(service, target)
 	})
 }
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -13,9 +13,8 @@
 	"github.com/martenstage/martenstage/internal/rollout"
 )
 
-// rollTo has the directory tell of a phase of the roll-out of s, and waits until the router
-// goes by it.
-func (s *site) rollTo(rule rollout.Rule) {
+// setRollout publishes a phase of the rollout of s, and waits until the router has applied it.
+func (s *site) setRollout(rule rollout.Rule) {
 	s.t.Helper()
 	s.directory.mutex.Lock()
 	s.directory.reply.RolloutRevision++
@@ -32,8 +31,9 @@
 	}, 10*time.Second, time.Millisecond)
 }
 
-// TestCallsFollowTheRollout has a service of two versions, of which the new one fails: what it
-// gets in each phase, and that a client whose request it failed is served by the old one.
+// TestCallsFollowTheRollout has a service with two versions, of which the new one fails. It
+// checks the requests that each version gets in each phase, and that the old version serves a
+// request that the new one failed.
 func TestCallsFollowTheRollout(t *testing.T) {
 	answers := map[string]int{}
 	var failing atomic.Bool
@@ -56,31 +56,31 @@
 	}
 	s.directory.mutex.Unlock()
 	s.install(oneRoute(1, "s"))
-	play := func(rule rollout.Rule) (old, fresh, failed int) {
-		s.rollTo(rule)
+	sendAll := func(rule rollout.Rule) (old, fresh, failed int) {
+		s.setRollout(rule)
 		clear(answers)
 		for range 100 {
-			if s.ask(http.MethodGet, "/a/", nil).status != http.StatusOK {
+			if s.send(http.MethodGet, "/a/", nil).status != http.StatusOK {
 				failed++
 			}
 		}
 		return answers["old"], answers["new"], failed
 	}
-	old, fresh, failed := play(rollout.Rule{Target: "v2", Phase: rollout.RolledBack})
+	old, fresh, failed := sendAll(rollout.Rule{Target: "v2", Phase: rollout.RolledBack})
 	require.Equal(t, []int{100, 0, 0}, []int{old, fresh, failed})
-	old, fresh, failed = play(rollout.Rule{Target: "v2", Phase: rollout.Shifted})
+	old, fresh, failed = sendAll(rollout.Rule{Target: "v2", Phase: rollout.Shifted})
 	require.Equal(t, []int{0, 100, 0}, []int{old, fresh, failed})
 	failing.Store(true)
-	old, fresh, failed = play(rollout.Rule{Target: "v2", Phase: rollout.Canary, Share: 0.2})
-	require.Equal(t, 100, old, "whoever met the new version is served by the old one")
+	old, fresh, failed = sendAll(rollout.Rule{Target: "v2", Phase: rollout.Canary, Share: 0.2})
+	require.Equal(t, 100, old, "a request that failed at the new version is not served by the old one")
 	require.Positive(t, fresh)
 	require.Less(t, fresh, 45)
 	require.Zero(t, failed)
 	require.Eventually(t, func() bool {
 		s.directory.mutex.Lock()
 		defer s.directory.mutex.Unlock()
-		told := s.directory.observed.Services["s"]
-		whole := told.Evidence.Whole()
-		return told.Number == 1 && whole.Old.Answers == 100 && whole.New.Bad == uint64(fresh) && whole.New.Answers == uint64(100+fresh)
+		report := s.directory.observed.Services["s"]
+		total := report.Evidence.Whole()
+		return report.Number == 1 && total.Old.Answers == 100 && total.New.Bad == uint64(fresh) && total.New.Answers == uint64(100+fresh)
 	}, 10*time.Second, time.Millisecond, "evidence")
 }
--- a/internal/gateway/searching.go
+++ b/internal/gateway/searching.go
@@ -17,51 +17,55 @@
 
 // Bounds of the search for a directory node.
 const (
-	// searchTimeout bounds a call, which a node answers at once. It is short, since
-	// an opening packet that met a machine without power is repeated only after a
-	// second, while a new call meets the machine as soon as it is back.
+	// searchTimeout bounds a probe, which a node answers at once. It is short, since a SYN
+	// packet to a machine without power is resent only after a second, while a new call
+	// reaches the machine as soon as it is up again.
 	searchTimeout = 150 * time.Millisecond
-	// searchStagger lies between the first calls to two nodes.
+	// searchStagger is the delay between the first probes of two nodes.
 	searchStagger = 10 * time.Millisecond
-	// firstSearchPause and longestSearchPause bound the pause after a node's
-	// failure, which doubles with each.
-	firstSearchPause   = 20 * time.Millisecond
-	longestSearchPause = 50 * time.Millisecond
-	// searchTime is after how long a search fails.
-	searchTime = 2 * time.Second
-	// staleChoice is for how long a search that found only nodes whose state is out of date
-	// goes on for a better one.
-	staleChoice = 200 * time.Millisecond
-	// staleLookPause lies between two searches for a better node than the one followed.
-	staleLookPause = 500 * time.Millisecond
+	// firstSearchPause and maxSearchPause bound the pause after a failed probe of a node,
+	// which doubles with each failure.
+	firstSearchPause = 20 * time.Millisecond
+	maxSearchPause   = 50 * time.Millisecond
+	// maxSearchTime is the time after which a search fails.
+	maxSearchTime = 2 * time.Second
+	// freshSearchTime is how long a search that has found only nodes with stale state waits
+	// for a better one.
+	freshSearchTime = 200 * time.Millisecond
+	// staleSearchPause is the pause between two searches for a better node than the followed
+	// one.
+	staleSearchPause = 500 * time.Millisecond
 )
 
-var errNoNode = errors.New("no directory node answers")
+var errNoNode = errors.New("no directory node is reachable")
 
-// found is what a node said to a probe, or why it said nothing.
-type found struct {
+// probeResult is a node's reply to a probe, or the error.
+type probeResult struct {
 	node string
-	// untold says that the node does not tell how old its state is, as nodes of an earlier
-	// version; else its state held all that had been acknowledged at a time.
-	untold bool
-	at     time.Time
-	err    error
+	// ageUnknown is set if the node does not report the age of its state, as nodes of an
+	// earlier version. Otherwise at is when its state was known to contain everything
+	// acknowledged.
+	ageUnknown bool
+	at         time.Time
+	err        error
 }
 
-// fresh reports whether the node's state is not out of date.
-func (f found) fresh(now time.Time) bool { return f.untold || now.Sub(f.at) <= directory.StaleAfter }
+// fresh reports whether the node's state is not stale.
+func (f probeResult) fresh(now time.Time) bool {
+	return f.ageUnknown || now.Sub(f.at) <= directory.StaleAfter
+}
 
-// search asks all known nodes side by side until one answers whose state is not out of date,
-// so that one that is silent, hears no leader yet or is behind delays nothing. Where all that
-// answer are out of date, the newest is taken: an old list serves better than none. What is
-// asked is answered with few bytes, since all may answer.
+// search probes all known nodes concurrently until one replies whose state is not stale, so
+// that a node that does not respond, has no leader yet or lags behind delays nothing. If all
+// nodes that reply are stale it chooses the newest, because an old list of servers is better
+// than none. Replies to probes are small, since all nodes may reply.
 func (f *follower) search(ctx context.Context) (string, error) {
-	searching, cancel := context.WithTimeout(ctx, searchTime)
+	searchCtx, cancel := context.WithTimeout(ctx, maxSearchTime)
 	defer cancel()
-	answers := f.askAll(searching, f.candidates(), true)
-	best := found{err: errNoNode}
+	answers := f.probeAll(searchCtx, f.candidates(), true)
+	best := probeResult{err: errNoNode}
 	failure := errNoNode
-	var enough <-chan time.Time
+	var settle <-chan time.Time
 	for {
 		select {
 		case answer := <-answers:
@@ -74,29 +78,29 @@
 			case best.err != nil || answer.at.After(best.at):
 				best = answer
 			}
-			if enough == nil {
-				enough = time.After(staleChoice)
+			if settle == nil {
+				settle = time.After(freshSearchTime)
 			}
-		case <-enough:
+		case <-settle:
 			return best.node, nil
-		case <-searching.Done():
+		case <-searchCtx.Done():
 			return "", errors.CombineErrors(errNoNode, failure)
 		}
 	}
 }
 
-// askAll asks nodes side by side, each once or again and again until the context ends.
-func (f *follower) askAll(ctx context.Context, nodes []string, again bool) <-chan found {
-	answers := make(chan found)
+// probeAll probes nodes concurrently, each once or repeatedly until the context ends.
+func (f *follower) probeAll(ctx context.Context, nodes []string, repeat bool) <-chan probeResult {
+	answers := make(chan probeResult)
 	for position, node := range nodes {
-		go f.ask(ctx, node, time.Duration(position)*searchStagger, again, answers)
+		go f.probeRepeatedly(ctx, node, time.Duration(position)*searchStagger, repeat, answers)
 	}
 	return answers
 }
 
-// ask calls one node after a pause, once or again and again until the context ends.
-func (f *follower) ask(ctx context.Context, node string, pause time.Duration, again bool, answers chan<- found) {
-	for next := firstSearchPause; ; next = min(2*next, longestSearchPause) {
+// probeRepeatedly probes one node after a pause, once or repeatedly until the context ends.
+func (f *follower) probeRepeatedly(ctx context.Context, node string, pause time.Duration, repeat bool, answers chan<- probeResult) {
+	for next := firstSearchPause; ; next = min(2*next, maxSearchPause) {
 		select {
 		case <-ctx.Done():
 			return
@@ -108,7 +112,7 @@
 			return
 		case answers <- answer:
 		}
-		if !again {
+		if !repeat {
 			return
 		}
 		pause = next
@@ -116,70 +120,70 @@
 }
 
 // probe asks a node whether it can be followed, and how old its state is.
-func (f *follower) probe(ctx context.Context, node string) found {
-	asked := steadyclock.Now()
-	reply, err := f.post(ctx, node, directory.FollowRequest{Probe: true, Seeds: f.seedsToName()}, searchTimeout)
+func (f *follower) probe(ctx context.Context, node string) probeResult {
+	sentAt := steadyclock.Now()
+	reply, err := f.post(ctx, node, directory.FollowRequest{Probe: true, Seeds: f.seedsToSend()}, searchTimeout)
 	if err == nil {
 		err = f.checkGroup(reply.Group, node)
 	}
-	answer := found{node: node, err: err, untold: err == nil && reply.Fresh == nil}
+	answer := probeResult{node: node, err: err, ageUnknown: err == nil && reply.Fresh == nil}
 	if reply.Fresh != nil {
-		answer.at = asked.Add(*reply.Fresh)
+		answer.at = sentAt.Add(*reply.Fresh)
 	}
 	return answer
 }
 
-// candidates are the nodes of the group as last told and the seeds, in an order of this
-// router's own: routers spread over the nodes, and those that leave one over all others.
+// candidates returns the nodes last reported and the seeds, in an order specific to this
+// router. Routers thus spread over the nodes, and those of a failed node over all others.
 func (f *follower) candidates() []string {
 	known := lo.Uniq(append(slices.Clone(f.nodes), f.gateway.seedList()...))
 	slices.SortFunc(known, func(a, b string) int { return cmp.Compare(f.preference(a), f.preference(b)) })
 	return known
 }
 
-// preference orders nodes for this router alone; less is better.
+// preference is the sort key of a node for this router; lower is better.
 func (f *follower) preference(node string) uint64 {
 	return xxhash.Sum64String(f.gateway.config.Name + "/" + node)
 }
 
-// leaveStale moves to another node if the state of the one that is followed is out of date and
-// another one's is not.
-func (f *follower) leaveStale(ctx context.Context, followed view) {
+// leaveStaleNode switches to another node if the state of the followed one is stale and that
+// of the other is not.
+func (f *follower) leaveStaleNode(ctx context.Context, followed view) {
 	now := steadyclock.Now()
 	if followed.at.IsZero() || now.Sub(followed.at) <= directory.StaleAfter {
-		f.staleTold = false
+		f.staleLogged = false
 		return
 	}
-	if now.Before(f.nextLook) {
+	if now.Before(f.nextStaleSearch) {
 		return
 	}
-	f.nextLook = now.Add(staleLookPause)
+	f.nextStaleSearch = now.Add(staleSearchPause)
 	node, better := f.searchFresh(ctx)
-	told := f.gateway.logger.WithFields(logrus.Fields{"directory": followed.node, "state_age": now.Sub(followed.at)})
+	logger := f.gateway.logger.WithFields(logrus.Fields{"directory": followed.node, "state_age": now.Sub(followed.at)})
 	if !better {
-		if !f.staleTold {
-			told.Warn("directory_stale: no node has a newer state")
+		if !f.staleLogged {
+			logger.Warn("directory_stale: no node has a newer state")
 		}
-		f.staleTold = true
+		f.staleLogged = true
 		return
 	}
-	told.WithField("next", node).Warn("directory_left")
-	f.node, f.moved, f.staleTold = node, true, false
+	logger.WithField("next", node).Warn("directory_left")
+	f.node, f.switched, f.staleLogged = node, true, false
 }
 
-// searchFresh returns a node whose state is not out of date, if one answers in time. Each is
-// asked once: where all are out of date, all routers look.
+// searchFresh returns a node whose state is not stale, if one replies in time. Each node is
+// probed once, since all routers search when all nodes are stale.
 func (f *follower) searchFresh(ctx context.Context) (node string, found bool) {
-	searching, cancel := context.WithTimeout(ctx, staleChoice)
+	searchCtx, cancel := context.WithTimeout(ctx, freshSearchTime)
 	defer cancel()
-	answers := f.askAll(searching, lo.Without(f.candidates(), f.node), false)
+	answers := f.probeAll(searchCtx, lo.Without(f.candidates(), f.node), false)
 	for {
 		select {
 		case answer := <-answers:
 			if answer.err == nil && answer.fresh(steadyclock.Now()) {
 				return answer.node, true
 			}
-		case <-searching.Done():
+		case <-searchCtx.Done():
 			return "", false
 		}
 	}
--- a/internal/gateway/searching_test.go
+++ b/internal/gateway/searching_test.go
@@ -20,13 +20,13 @@
 	"github.com/martenstage/martenstage/internal/routing"
 )
 
-// TestASilentNodeDoesNotDelayTheSearch has one node that never answers and one
-// that hears no leader at first: the second one is asked while the call to the
-// first is still open, and again once it has refused.
-func TestASilentNodeDoesNotDelayTheSearch(t *testing.T) {
+// TestUnresponsiveNodeDoesNotDelayTheSearch has one node that never answers and one that has
+// no leader at first: the second one is probed while the call to the first is in flight, and
+// again after it has refused.
+func TestUnresponsiveNodeDoesNotDelayTheSearch(t *testing.T) {
 	var refused, overtaken atomic.Int64
 	answered := make(chan struct{})
-	silent := serve(t, http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
+	unresponsive := serve(t, http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(io.Discard, request.Body)
 		select {
 		case <-answered:
@@ -50,7 +50,7 @@
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	router := gateway.New(gateway.Config{
-		Name: "router", Seeds: []string{silent, leading}, Grace: time.Second, Dialect: dialect{}, Codec: dialect{},
+		Name: "router", Seeds: []string{unresponsive, leading}, Grace: time.Second, Dialect: dialect{}, Codec: dialect{},
 		ParseDocument: func(text []byte) (*routing.Document, error) {
 			parsed := &routing.Document{}
 			return parsed, json.Unmarshal(text, parsed)
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -18,7 +18,7 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// exchangeState is what is known of one request while it is served.
+// exchangeState is the state of a client's request while it is served.
 type exchangeState struct {
 	gateway *Gateway
 	writer  http.ResponseWriter
@@ -27,31 +27,32 @@
 	id      string
 	route   *routing.Route
 	version uint64
-	// tenant is who sends the request; nil where that is not known or not asked for.
+	// tenant is the sender of the request; nil if it is unknown or not required.
 	tenant *routing.Tenant
-	// confirmed is what is known of the document that the request is served by.
+	// confirmed is the confirmation of the document by which the request is served.
 	confirmed confirmation
-	// tried says that a server has just answered the request, which was suspected to end its
-	// servers.
+	// tried is set if a server has just answered a trial of the request, which was suspected
+	// of crashing servers.
 	tried bool
-	// told is what the log says of an answer put together from slices.
-	told gatherTold
+	// gathered describes the response in the log if it was gathered from slices.
+	gathered gatherSummary
 }
 
-// ServeHTTP serves one request of a client.
+// ServeHTTP serves a client's request.
 func (g *Gateway) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	state := &exchangeState{gateway: g, writer: writer, request: request, arrived: steadyclock.Now(), id: g.config.Dialect.RequestID(request.Header)}
 	if connection, ok := state.connection(); ok {
-		connection.serving()
+		connection.headerComplete()
 	}
-	if g.closing.Load() || g.reach.isolated.Load() {
+	if g.closing.Load() || g.isolation.isolated.Load() {
 		writer.Header().Set("Connection", "close")
 	}
-	// Before the table is read: one that is put in force between the two is newer.
+	// Read before the table, so that a document installed in between is newer than its
+	// confirmation.
 	state.confirmed = g.confirmation()
 	table := state.awaitTable()
 	if table == nil {
-		state.refuse(http.StatusServiceUnavailable, verdict.ReasonNoLease, state.comeBack())
+		state.refuse(http.StatusServiceUnavailable, verdict.ReasonNoLease, state.retryAfter())
 		return
 	}
 	state.version = table.Document().Version
@@ -69,36 +70,36 @@
 	}
 	if g.inFlight.Add(1) > maxInFlight {
 		g.inFlight.Add(-1)
-		state.refuse(http.StatusServiceUnavailable, verdict.ReasonOverloaded, state.comeBack())
+		state.refuse(http.StatusServiceUnavailable, verdict.ReasonOverloaded, state.retryAfter())
 		return
 	}
 	defer g.inFlight.Add(-1)
 	state.serve(table)
 }
 
-// comeBack is after how long a request that this router can't serve now may come
-// back.
-func (s *exchangeState) comeBack() time.Duration {
-	return startRetry + time.Duration(float64(startSpread)*float64(xxhash.Sum64String(s.id))/math.MaxUint64)
+// retryAfter returns after how long a client may retry a request that this router can't serve
+// now.
+func (s *exchangeState) retryAfter() time.Duration {
+	return retryDelay + time.Duration(float64(retrySpread)*float64(xxhash.Sum64String(s.id))/math.MaxUint64)
 }
 
-// awaitTable returns the table of the document in force. A router that has just
-// started waits a moment for its first one.
+// awaitTable returns the table of the active document. A router that has just started waits
+// briefly for its first document.
 func (s *exchangeState) awaitTable() *routing.Table {
 	if table := s.gateway.table.Load(); table != nil {
 		return table
 	}
-	patience := time.NewTimer(min(s.remaining(), startPatience))
-	defer patience.Stop()
+	timeout := time.NewTimer(min(s.remaining(), firstDocumentTimeout))
+	defer timeout.Stop()
 	select {
-	case <-s.gateway.known:
-	case <-patience.C:
+	case <-s.gateway.documentKnown:
+	case <-timeout.C:
 	case <-s.request.Context().Done():
 	}
 	return s.gateway.table.Load()
 }
 
-// remaining is how long the client waits from the arrival of its request.
+// remaining returns how long the client waits, counted from the arrival of its request.
 func (s *exchangeState) remaining() time.Duration {
 	remaining, given := s.gateway.config.Dialect.Remaining(s.request.Header)
 	if !given {
@@ -107,7 +108,7 @@
 	return max(0, remaining-answerMargin)
 }
 
-// target is the path and query as the client sent them.
+// target returns the path and query as the client sent them.
 func (s *exchangeState) target() string {
 	if target := s.request.RequestURI; len(target) > 0 && target[0] == '/' {
 		return target
@@ -121,41 +122,41 @@
 		s.refuse(status, verdict.ReasonBodyTooLarge, 0)
 		return
 	}
-	passed := newFingerprinted(&message.Request{
+	forwarded := newFingerprinted(&message.Request{
 		Method: s.request.Method, Target: s.target(), Host: s.request.Host,
-		Header: s.passedHeaders(table), Body: body, ID: s.id, Tenant: s.tenantName(),
+		Header: s.forwardedHeaders(table), Body: body, ID: s.id, Tenant: s.tenantName(),
 	})
-	if s.refuseIsolated() || s.refuseOverQuota() || !s.identifyAgain(table) || !s.guard(passed) {
+	if s.refuseIsolated() || s.refuseOverQuota() || !s.recheckKey(table) || !s.checkQuarantine(forwarded) {
 		return
 	}
 	if s.route.Gathers() {
-		s.serveGather(passed)
+		s.serveGather(forwarded)
 		return
 	}
-	s.serveSingle(passed)
+	s.serveSingle(forwarded)
 }
 
-// serveSingle answers a request that goes to one service.
-func (s *exchangeState) serveSingle(passed *fingerprinted) {
-	arriving := submitted{
-		arrived: s.arrival(), request: passed, evidence: s.evidence(),
+// serveSingle answers a request that is sent to one service.
+func (s *exchangeState) serveSingle(forwarded *fingerprinted) {
+	incoming := submission{
+		arrived: s.arrival(), request: forwarded, evidence: s.evidence(),
 		id: make(chan scatter.RequestID, 1), answer: make(chan scatter.Result, 1),
 	}
-	s.gateway.loop.requests <- arriving
+	s.gateway.loop.requests <- incoming
 	select {
-	case result := <-arriving.answer:
+	case result := <-incoming.answer:
 		if result.Reply == nil {
 			s.fail(result)
 			return
 		}
 		s.writeReply(result)
 	case <-s.request.Context().Done():
-		s.gateway.loop.events <- scatter.Abandoned{Request: <-arriving.id}
-		s.tell("client_gone", 0, scatter.Result{})
+		s.gateway.loop.events <- scatter.Abandoned{Request: <-incoming.id}
+		s.recordOutcome("client_gone", 0, scatter.Result{})
 	}
 }
 
-// readBody reads the whole body; status is 0 or the refusal.
+// readBody reads the complete body; status is 0 or that of the refusal.
 func (s *exchangeState) readBody(limit int64) (body []byte, status int) {
 	if limit <= 0 {
 		limit = defaultBodyBytes
@@ -171,11 +172,11 @@
 	return body, 0
 }
 
-// arrival sets the time that bounds the request and the service that it goes to.
+// arrival returns the engine's event of the request, with its deadline and services.
 func (s *exchangeState) arrival() scatter.Arrived {
-	held := min(s.remaining(), s.route.Timeout)
+	limit := min(s.remaining(), s.route.Timeout)
 	arrived := scatter.Arrived{
-		Route: s.route, Services: s.route.Shards, Deadline: s.arrived.Add(held), Due: s.cut(),
+		Route: s.route, Services: s.route.Shards, Deadline: s.arrived.Add(limit), Due: s.cutoff(),
 	}
 	if !s.route.Gathers() {
 		arrived.Services = []string{s.route.ServiceOf(s.id)}
@@ -183,34 +184,35 @@
 	return arrived
 }
 
-// away is how much of the client's waiting is spent outside of this router.
-func (s *exchangeState) away() time.Duration {
+// networkDelay returns the part of the client's waiting time that is spent outside this
+// router.
+func (s *exchangeState) networkDelay() time.Duration {
 	connection, ok := s.connection()
 	if !ok {
 		return unknownRoundTrip
 	}
-	return connection.away()
+	return connection.networkDelay()
 }
 
-// connection returns what is known of the client's connection.
+// connection returns the state of the client's connection.
 func (s *exchangeState) connection() (*clientConnection, bool) {
 	connection, ok := s.request.Context().Value(clientConnectionKey{}).(*clientConnection)
 	return connection, ok
 }
 
-// writeReply passes the answer of a server on unchanged.
+// writeReply forwards a server's response unchanged.
 func (s *exchangeState) writeReply(result scatter.Result) {
 	reply := result.Reply
 	header := s.writer.Header()
-	for name, values := range passedOn(reply.Header) {
+	for name, values := range endToEndHeaders(reply.Header) {
 		header[name] = values
 	}
 	if _, typed := header["Content-Type"]; !typed {
-		// Nil keeps net/http from guessing one.
+		// Nil stops net/http from detecting a type.
 		header["Content-Type"] = nil
 	}
 	s.write(reply.Status, reply.Body)
-	s.tell("answered", reply.Status, result)
+	s.recordOutcome("answered", reply.Status, result)
 }
 
 func (s *exchangeState) write(status int, body []byte) {
@@ -221,8 +223,8 @@
 	_, _ = s.writer.Write(body)
 }
 
-// fail answers a request that brought nothing. Only one that provably has not
-// run is refused with 503; the others have a status that promises nothing.
+// fail answers a request that got no response. Only a request that certainly has not run gets
+// status 503; other statuses leave open whether it has run.
 func (s *exchangeState) fail(result scatter.Result) {
 	if result.Reason == verdict.ReasonQuarantined {
 		s.refuseQuarantined(result)
@@ -236,13 +238,13 @@
 		status = http.StatusGatewayTimeout
 	}
 	s.writeFailure(status, result.Reason, result.RetryAfter)
-	s.tell("failed", status, result)
+	s.recordOutcome("failed", status, result)
 }
 
-// refuse answers a request that was not passed on at all.
+// refuse answers a request that was not sent to any server.
 func (s *exchangeState) refuse(status int, reason verdict.Reason, after time.Duration) {
 	s.writeFailure(status, reason, after)
-	s.tell("refused", status, scatter.Result{Verdict: verdict.NotRun, Reason: reason, RetryAfter: after})
+	s.recordOutcome("refused", status, scatter.Result{Verdict: verdict.NotRun, Reason: reason, RetryAfter: after})
 }
 
 func (s *exchangeState) writeFailure(status int, reason verdict.Reason, after time.Duration) {
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -30,15 +30,15 @@
 	MemoryLimit    int64         `long:"memory-limit" koanf:"memory-limit" default:"0" validate:"min=0" description:"Memory that garbage collection aims to stay below, bytes; 0 for none"`
 }
 
-// SeedAddresses are where directory nodes are reached by routers.
+// SeedAddresses returns the addresses at which routers reach directory nodes.
 func (o *Options) SeedAddresses() []string { return settings.WithPort(o.Seeds, o.PeerPort) }
 
-// ColdLimits are the bounds of what cold servers get.
+// ColdLimits returns the limits of requests to cold servers.
 func (o *Options) ColdLimits() scatter.ColdLimits {
 	return scatter.ColdLimits{Over: o.ColdOver, Slack: o.ColdSlack}
 }
 
-// BudgetLimits are the bounds of hedges and retries.
+// BudgetLimits returns the limits of hedges and retries.
 func (o *Options) BudgetLimits() scatter.BudgetLimits {
 	return scatter.BudgetLimits{Ratio: o.ExtraRatio, Slack: o.ExtraSlack, Window: o.ExtraWindow}
 }
--- a/internal/gateway/site_test.go
+++ b/internal/gateway/site_test.go
@@ -23,9 +23,9 @@
 	"github.com/martenstage/martenstage/internal/scatter"
 )
 
-// site is a router between a directory and servers of one test.
+// site is a router with the directory and the servers of a test.
 type site struct {
-	// logged is what the router logged.
+	// logged captures the router's log.
 	logged    *logtest.Hook
 	t         testing.TB
 	directory *directoryStub
@@ -33,7 +33,7 @@
 	address   string
 	stop      context.CancelFunc
 	done      chan error
-	// ended is closed once the router has ended, and calls nobody any more.
+	// ended is closed once the router has stopped and makes no more calls.
 	ended chan struct{}
 }
 
@@ -41,8 +41,7 @@
 	return startSiteWithin(t, 0, document, servers)
 }
 
-// startSiteWithin is startSite with a time within which keys that were taken away have to be
-// refused.
+// startSiteWithin is startSite with a value for Config.RevokeWithin.
 func startSiteWithin(t testing.TB, revokeWithin time.Duration, document *routing.Document, servers map[string]http.HandlerFunc) *site {
 	stub := &directoryStub{}
 	node := serve(t, stub)
@@ -79,10 +78,10 @@
 	s.t.Cleanup(func() { s.end(clients) })
 }
 
-// end ends the router at once and waits for it. A planned stop goes on calling the directory
-// for as long as it takes, at a port that the next test's stand-ins may have by then.
+// end stops the router at once and waits for it. During a planned stop it would keep calling
+// the directory, at a port that the servers of the next test may have by then.
 func (s *site) end(listener net.Listener) {
-	_ = listener.Close() // It is closed already where the test stopped the router.
+	_ = listener.Close() // Already closed if the test has stopped the router.
 	<-s.ended
 	s.stop()
 }
@@ -92,8 +91,8 @@
 	return parsed, json.Unmarshal(text, parsed)
 }
 
-// listenLocal listens at an address that no other process and no later test gets: a router that
-// still calls it would be heard there.
+// listenLocal listens at an address that no other process and no later test uses, so that
+// calls of a router that is still running reach no other test.
 func listenLocal(t testing.TB) net.Listener {
 	listener, err := net.Listen("tcp4", testaddress.Next().String())
 	require.NoError(t, err)
@@ -108,8 +107,8 @@
 	return listener.Addr().String()
 }
 
-// prepare makes the directory tell of a document.
-func (s *site) prepare(document *routing.Document) {
+// publish sets the document in the directory's replies.
+func (s *site) publish(document *routing.Document) {
 	text, err := json.Marshal(document)
 	require.NoError(s.t, err)
 	s.directory.mutex.Lock()
@@ -117,9 +116,9 @@
 	s.directory.reply.Version, s.directory.reply.Document = document.Version, pack(s.t, text)
 }
 
-// install puts a document in force and waits until it is.
+// install publishes a document and waits until it is active.
 func (s *site) install(document *routing.Document) {
-	s.prepare(document)
+	s.publish(document)
 	require.Eventually(s.t, func() bool { return s.router.Version() == document.Version }, 10*time.Second, time.Millisecond)
 }
 
@@ -135,13 +134,13 @@
 	body   string
 }
 
-func (s *site) ask(method, path string, body io.Reader) answer {
+func (s *site) send(method, path string, body io.Reader) answer {
 	s.t.Helper()
-	return s.askWith(nil, method, path, body)
+	return s.sendWith(nil, method, path, body)
 }
 
-// askWith is ask with headers beside.
-func (s *site) askWith(headers http.Header, method, path string, body io.Reader) answer {
+// sendWith is send with additional headers.
+func (s *site) sendWith(headers http.Header, method, path string, body io.Reader) answer {
 	s.t.Helper()
 	request, err := http.NewRequest(method, "http://"+s.address+path, body)
 	require.NoError(s.t, err)
--- a/internal/gateway/slice_client.go
+++ b/internal/gateway/slice_client.go
@@ -19,89 +19,89 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// Bounds of asking another router.
+// Bounds of requesting slices from another router.
 const (
-	// acceptTime is how long a router that was sent a slice may take to say that it has
-	// it; acceptGrace is what passes after that before it is taken for silent, so that a
-	// router that was busy itself reads first what has come in meanwhile. Both are long,
-	// since one that is taken for silent wrongly may have asked second servers already.
-	acceptTime  = 90 * time.Millisecond
-	acceptGrace = 15 * time.Millisecond
-	// peerSilence is how long bytes that were sent to a router may stay unacknowledged by
-	// its machine before the connection ends.
-	peerSilence     = time.Second
+	// acceptTimeout is how long a router may take to accept a slice. acceptGrace follows it
+	// before the router is treated as unresponsive, so that a sender that was busy itself
+	// first reads what has arrived meanwhile. Both are long, because a router wrongly treated
+	// as unresponsive may already have sent hedges.
+	acceptTimeout = 90 * time.Millisecond
+	acceptGrace   = 15 * time.Millisecond
+	// peerAckTimeout is how long data sent to a router may stay unacknowledged by its machine
+	// before the connection is closed.
+	peerAckTimeout  = time.Second
 	peerIdlePerHost = 16
-	peerIdleTime    = 20 * time.Second
+	peerIdleTimeout = 20 * time.Second
 )
 
-// sliceClient asks other routers for slices.
+// sliceClient requests slices from other routers.
 type sliceClient struct {
 	http *http.Client
-	// group returns that of this router.
+	// group returns the group of this router.
 	group func() addressee.Group
-	// patience is how long a connection to a router may take to come up.
-	patience patience
+	// connectTimeout is the timeout for connecting to a router.
+	connectTimeout connectTimeout
 }
 
 func newSliceClient(group func() addressee.Group) *sliceClient {
 	client := &sliceClient{group: group}
 	client.http = &http.Client{Transport: &http.Transport{
-		DialContext: client.dial, MaxIdleConnsPerHost: peerIdlePerHost, IdleConnTimeout: peerIdleTime,
+		DialContext: client.dial, MaxIdleConnsPerHost: peerIdlePerHost, IdleConnTimeout: peerIdleTimeout,
 		DisableCompression: true, ReadBufferSize: 4 << 10, WriteBufferSize: 4 << 10,
 	}}
 	return client
 }
 
-// dial connects to a router, which proves nothing sent where it fails.
+// dial connects to a router. If it fails, nothing was sent.
 func (c *sliceClient) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	began := steadyclock.Now()
-	dialer := net.Dialer{Timeout: c.patience.current(), KeepAlive: -1, Control: liveness.Bound(peerSilence)}
+	dialer := net.Dialer{Timeout: c.connectTimeout.current(), KeepAlive: -1, Control: liveness.Bound(peerAckTimeout)}
 	conn, err := dialer.DialContext(ctx, network, address)
 	var failure net.Error
 	if err == nil || errors.As(err, &failure) && failure.Timeout() {
-		c.patience.observe(steadyclock.Now(), steadyclock.Since(began))
+		c.connectTimeout.observe(steadyclock.Now(), steadyclock.Since(began))
 	}
 	return conn, err
 }
 
-// Answers of a router that knows the request of a slice as one that ends its servers, or may,
-// and what comes of them. It has sent nothing.
+// Statuses and errors of a router that knows the request of a slice as quarantined or
+// suspected. It has sent nothing to servers.
 const (
 	statusQuarantined = http.StatusUnprocessableEntity
 	statusSuspected   = http.StatusConflict
 )
 
 var (
-	errQuarantined = errors.New("the request of the slice is quarantined")
-	errSuspected   = errors.New("the request of the slice is suspected")
+	errQuarantined = errors.New("request of the slice is quarantined")
+	errSuspected   = errors.New("request of the slice is suspected")
 )
 
-var errNotAccepted = errors.New("the router did not accept the slice in time")
+var errNotAccepted = errors.New("router did not accept the slice in time")
 
-// ask sends a slice to a router and hands on its frames. When it returns an
-// error, accepted says whether the router may have sent something to servers.
-func (c *sliceClient) ask(ctx context.Context, router slicing.Router, asked sliceRequest, each func(sliceFrame)) (accepted bool, err error) {
-	body, err := json.Marshal(asked)
+// send requests a slice from a router and passes on its frames. If it returns an error,
+// accepted reports whether the router may have sent anything to servers.
+func (c *sliceClient) send(ctx context.Context, router slicing.Router, request sliceRequest, onFrame func(sliceFrame)) (accepted bool, err error) {
+	body, err := json.Marshal(request)
 	if err != nil {
 		return false, err
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	response, accepted, err := c.accepted(ctx, cancel, router, body)
+	response, accepted, err := c.awaitAccepted(ctx, cancel, router, body)
 	if err != nil {
 		return accepted, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	// Each frame but the last brings a part, so that there are no more than these;
-	// the receiver of events has room for them.
-	for range len(asked.Shards) + 2 {
-		frame, err := readFrame(response.Body, len(asked.Shards))
+	// Each frame but the last contains a part, which bounds their number; the events channel
+	// is buffered for as many.
+	for range len(request.Shards) + 2 {
+		frame, err := readFrame(response.Body, len(request.Shards))
 		if err != nil {
 			return true, err
 		}
-		each(frame)
+		onFrame(frame)
 		if frame.Last {
-			// Read to the end, so that the connection is kept.
+			// Read to the end, so that the connection can be reused.
 			_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, 1))
 			return true, nil
 		}
@@ -109,9 +109,9 @@
 	return true, errFrame
 }
 
-// accepted sends a slice and waits until the router says that it has it. When it returns
-// an error, may says whether the router may have sent something to servers.
-func (c *sliceClient) accepted(ctx context.Context, cancel context.CancelCauseFunc, router slicing.Router, body []byte) (response *http.Response, may bool, err error) {
+// awaitAccepted sends a slice and waits until the router accepts it. If it returns an error,
+// mayHaveSent reports whether the router may have sent anything to servers.
+func (c *sliceClient) awaitAccepted(ctx context.Context, cancel context.CancelCauseFunc, router slicing.Router, body []byte) (response *http.Response, mayHaveSent bool, err error) {
 	var written, answered atomic.Bool
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		WroteHeaders: func() { written.Store(true) },
@@ -120,31 +120,32 @@
 	if err != nil {
 		return nil, false, err
 	}
-	// A kept connection may be to an earlier start of the router. Where it ends before
-	// anything came, nothing was sent to servers, so that net/http may send the slice
-	// again over a new one; an empty key says so to it alone.
+	// A kept connection may belong to an earlier start of the router. If it ends before a
+	// response arrives, nothing was sent to servers, so that net/http may resend the slice
+	// over a new connection. An empty Idempotency-Key allows that without being sent.
 	request.Header["Idempotency-Key"] = []string{}
 	expected := addressee.Identity{Group: c.group(), Name: router.Name}
 	addressee.Mark(request.Header, expected)
-	silence := time.AfterFunc(acceptTime, func() {
+	acceptTimer := time.AfterFunc(acceptTimeout, func() {
 		time.AfterFunc(acceptGrace, func() {
 			if !answered.Load() {
 				cancel(errNotAccepted)
 			}
 		})
 	})
-	defer silence.Stop()
+	defer acceptTimer.Stop()
 	response, err = c.http.Do(request)
 	answered.Store(err == nil)
 	if err != nil {
-		silent := errors.Is(context.Cause(ctx), errNotAccepted)
-		// Silence proves nothing once something was written. A connection that ends does:
-		// a router says that it has a slice before it sends anything.
-		return nil, written.Load() && silent, err
+		timedOut := errors.Is(context.Cause(ctx), errNotAccepted)
+		// A timeout after something was written leaves open whether the router has sent
+		// anything. The end of the connection does not: a router accepts a slice before it
+		// sends anything.
+		return nil, written.Load() && timedOut, err
 	}
 	if err := addressee.Check(response, expected, router.Identifies); err != nil {
 		_ = response.Body.Close()
-		return nil, mayHaveTaken(response, err), err
+		return nil, mayHaveAccepted(response, err), err
 	}
 	if err := sliceRefusal(response.StatusCode); err != nil {
 		_ = response.Body.Close()
@@ -153,15 +154,15 @@
 	return response, true, nil
 }
 
-// mayHaveTaken reports whether a process that was not meant may have sent something to servers of
-// this group.
-func mayHaveTaken(response *http.Response, err error) bool {
+// mayHaveAccepted reports whether the wrong process may have sent anything to servers of this
+// group.
+func mayHaveAccepted(response *http.Response, err error) bool {
 	var misdirected *addressee.MisdirectedError
-	stranger := errors.As(err, &misdirected) && misdirected.Expected.Group.Differs(misdirected.Found.Group)
-	return response.StatusCode == http.StatusOK && !stranger
+	otherGroup := errors.As(err, &misdirected) && misdirected.Expected.Group.Differs(misdirected.Found.Group)
+	return response.StatusCode == http.StatusOK && !otherGroup
 }
 
-// sliceRefusal returns why a router did not take a slice; nil if it did.
+// sliceRefusal returns why a router refused a slice; nil if it accepted it.
 func sliceRefusal(status int) error {
 	switch status {
 	case http.StatusOK:
@@ -171,5 +172,5 @@
 	case statusSuspected:
 		return errSuspected
 	}
-	return errors.Newf("status %d", status)
+	return errors.Newf("unexpected status %d", status)
 }
--- a/internal/gateway/slice_messages.go
+++ b/internal/gateway/slice_messages.go
@@ -9,40 +9,40 @@
 	"github.com/cockroachdb/errors"
 )
 
-// pathSlice is the call by which a router asks another one to gather some shards.
+// pathSlice is the path of the call that requests another router to gather some shards.
 const pathSlice = "/router/slice"
 
-// sliceRequest asks for the parts of some shards.
+// sliceRequest requests the parts of some shards.
 type sliceRequest struct {
-	// Request is that of the client, a message.Request: it is the same in all slices
-	// and encoded once.
+	// Request is the client's request, a message.Request. It is the same in all slices, and
+	// encoded once.
 	Request json.RawMessage `json:"request"`
 	Shards  []string        `json:"shards"`
-	// The parts of the route that matter to those shards.
+	// The settings of the route that apply to the shards.
 	Route       string  `json:"route"`
 	MaxAttempts int     `json:"max_attempts"`
 	Priority    int     `json:"priority"`
 	TopRecords  int     `json:"top_records"`
 	LeastShare  float64 `json:"least_share"`
-	// Target of the route, for first delays.
+	// Target is the target time of the route, from which the first hedging delays are derived.
 	Target time.Duration `json:"target"`
-	// CutLeft is when the parts that are in are to be sent; DeadlineLeft when to
-	// end. Both count from the arrival.
+	// CutLeft is when the parts received so far are to be sent, DeadlineLeft when the slice
+	// ends. Both count from its arrival.
 	CutLeft      time.Duration `json:"cut_left"`
 	DeadlineLeft time.Duration `json:"deadline_left"`
-	// Earlier is how many other routers may have asked servers before.
+	// Earlier is how many other routers may have sent attempts before.
 	Earlier int `json:"earlier,omitempty"`
-	// Tried says that a server has just answered the request, which was suspected to end
-	// its servers.
+	// Tried is set if a server has just answered a trial of the request, which was suspected
+	// of crashing servers.
 	Tried bool `json:"tried,omitempty"`
 	// Caller is the address of the client.
 	Caller string `json:"caller,omitempty"`
-	// Claims is where attempts beyond the first of a shard are asked for.
+	// Claims is where to claim attempts beyond the first of a shard.
 	Claims claimTarget `json:"claims"`
 }
 
-// due is when the parts of a request that arrived at a time are sent; zero for when
-// they come.
+// due returns when the parts received so far are sent, for a request that arrived at a time;
+// zero if each is sent as it arrives.
 func (r *sliceRequest) due(arrived time.Time) time.Time {
 	if r.Target <= 0 {
 		return time.Time{}
@@ -50,17 +50,17 @@
 	return arrived.Add(r.CutLeft)
 }
 
-// sliceFrame is one message of the answer, which is a stream of frames.
+// sliceFrame is one message of the response, which is a stream of frames.
 type sliceFrame struct {
-	// Shards are the positions, in the request, of the parts that are in this
-	// frame, and Stamps their signatures.
+	// Shards are the positions, in the request, of the parts in this frame, and Stamps their
+	// signatures.
 	Shards []int
 	Stamps []string
-	// Lost are positions of shards of which no part will come.
+	// Lost are the positions of shards whose parts will not arrive.
 	Lost []int
-	// Records are the greatest of the parts in this frame.
+	// Records are the greatest records of the parts in this frame.
 	Records []byte
-	// Last says that nothing follows.
+	// Last is set in the last frame.
 	Last bool
 }
 
@@ -70,9 +70,9 @@
 	frameHeader   = 4
 )
 
-var errFrame = errors.New("a slice's frame is damaged")
+var errFrame = errors.New("malformed slice frame")
 
-// encode puts the frame's length before it.
+// encode returns the frame with its length as prefix.
 func (f sliceFrame) encode() []byte {
 	body := make([]byte, frameHeader, frameHeader+len(f.Records)+64*(len(f.Stamps)+1))
 	last := byte(0)
@@ -95,7 +95,7 @@
 	return body
 }
 
-// readFrame reads one frame of a stream whose shards are below a number.
+// readFrame reads one frame of a response for the given number of shards.
 func readFrame(reader io.Reader, shards int) (sliceFrame, error) {
 	var header [frameHeader]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
@@ -129,7 +129,7 @@
 	return frame, nil
 }
 
-// frameDecoder reads the parts of a frame; after a failure it gives zeros.
+// frameDecoder decodes the fields of a frame; after a failure it returns zeros.
 type frameDecoder struct {
 	rest   []byte
 	shards uint64
--- a/internal/gateway/slice_server.go
+++ b/internal/gateway/slice_server.go
@@ -13,7 +13,7 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// maxSliceBytes bounds a request for a slice.
+// maxSliceBytes bounds the body of a slice request.
 const maxSliceBytes = 16 << 20
 
 // PeerHandler serves the calls of other routers.
@@ -22,28 +22,28 @@
 	mux.HandleFunc("POST "+pathSlice, g.serveSlice)
 	mux.HandleFunc("POST "+pathClaim, g.serveClaim)
 	mux.HandleFunc("POST "+pathProbe, g.serveProbe)
-	return addressee.Handler(g.identity, g.noteMisdirected, mux)
+	return addressee.Handler(g.identity, g.recordMisdirected, mux)
 }
 
-// serveSlice gathers shards for another router: it accepts at once, sends what is
-// in when all is or at the cut, and then whatever comes later.
+// serveSlice gathers shards for another router. It accepts the slice at once, sends one frame
+// when all parts have arrived or at the cutoff, and then each part that arrives later.
 func (g *Gateway) serveSlice(writer http.ResponseWriter, request *http.Request) {
-	var asked sliceRequest
-	var passed message.Request
-	err := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxSliceBytes)).Decode(&asked)
+	var slice sliceRequest
+	var clientRequest message.Request
+	err := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxSliceBytes)).Decode(&slice)
 	if err == nil {
-		err = json.Unmarshal(asked.Request, &passed)
+		err = json.Unmarshal(slice.Request, &clientRequest)
 	}
-	if err != nil || len(asked.Shards) == 0 {
+	if err != nil || len(slice.Shards) == 0 {
 		http.Error(writer, "the slice can't be read", http.StatusBadRequest)
 		return
 	}
-	fingerprinted := newFingerprinted(&passed)
+	fingerprinted := newFingerprinted(&clientRequest)
 	switch standing := g.quarantine.standing(fingerprinted); {
 	case standing == quarantine.Quarantined:
 		http.Error(writer, "the request is quarantined", statusQuarantined)
 		return
-	case standing == quarantine.Suspected && !asked.Tried:
+	case standing == quarantine.Suspected && !slice.Tried:
 		http.Error(writer, "the request is suspected", statusSuspected)
 		return
 	}
@@ -53,7 +53,7 @@
 	}
 	defer g.inFlight.Add(-1)
 	writer.WriteHeader(http.StatusOK)
-	stream := &sliceStream{writer: writer, controller: http.NewResponseController(writer), asked: &asked, request: fingerprinted}
+	stream := &sliceStream{writer: writer, controller: http.NewResponseController(writer), slice: &slice, request: fingerprinted}
 	if stream.controller.Flush() != nil {
 		return
 	}
@@ -65,7 +65,7 @@
 type sliceStream struct {
 	writer     http.ResponseWriter
 	controller *http.ResponseController
-	asked      *sliceRequest
+	slice      *sliceRequest
 	request    *fingerprinted
 	pending    sliceFrame
 	parts      [][]byte
@@ -77,28 +77,28 @@
 	s.parts = append(s.parts, part.Reply.Body)
 }
 
-// send writes what was added since the last frame.
+// send writes the parts added since the last frame.
 func (s *sliceStream) send() {
-	s.pending.Records = greatestRecords(s.parts, s.asked.TopRecords)
+	s.pending.Records = greatestRecords(s.parts, s.slice.TopRecords)
 	_, _ = s.writer.Write(s.pending.encode())
 	_ = s.controller.Flush()
 	s.pending, s.parts = sliceFrame{}, nil
 }
 
 func (g *Gateway) gatherSlice(request *http.Request, stream *sliceStream) {
-	asked := stream.asked
+	slice := stream.slice
 	now := steadyclock.Now()
-	events := make(chan *gatherEvent, 2*len(asked.Shards)+1)
-	gathering := g.submitShards(localSlice{
-		request: stream.request, evidence: &evidence{route: asked.Route, caller: asked.Caller}, shards: asked.Shards, deadline: now.Add(asked.DeadlineLeft), due: asked.due(now), events: events, earlier: asked.Earlier, claims: asked.Claims,
+	events := make(chan *gatherEvent, 2*len(slice.Shards)+1)
+	gather := g.submitShards(localSlice{
+		request: stream.request, evidence: &evidence{route: slice.Route, caller: slice.Caller}, shards: slice.Shards, deadline: now.Add(slice.DeadlineLeft), due: slice.due(now), events: events, earlier: slice.Earlier, claims: slice.Claims,
 		route: &routing.Route{
-			Name: asked.Route, Repeatable: true, Timeout: asked.DeadlineLeft, Target: asked.Target, Priority: asked.Priority,
-			MaxAttempts: asked.MaxAttempts, Shards: asked.Shards, LeastShare: asked.LeastShare,
+			Name: slice.Route, Repeatable: true, Timeout: slice.DeadlineLeft, Target: slice.Target, Priority: slice.Priority,
+			MaxAttempts: slice.MaxAttempts, Shards: slice.Shards, LeastShare: slice.LeastShare,
 		},
 	})
-	cut := time.NewTimer(asked.CutLeft)
-	defer cut.Stop()
-	pastCut := false
+	cutoff := time.NewTimer(slice.CutLeft)
+	defer cutoff.Stop()
+	pastCutoff := false
 	for {
 		select {
 		case event := <-events:
@@ -108,72 +108,72 @@
 				return
 			}
 			stream.add(event.part)
-			if pastCut {
+			if pastCutoff {
 				stream.send()
 			}
-		case <-cut.C:
-			pastCut = true
+		case <-cutoff.C:
+			pastCutoff = true
 			if len(stream.parts) > 0 {
 				stream.send()
 			}
 		case <-request.Context().Done():
-			gathering.abandon()
+			gather.abandon()
 			return
 		}
 	}
 }
 
-// localSlice is shards that this router gathers itself.
+// localSlice describes shards that this router gathers itself.
 type localSlice struct {
 	request  *fingerprinted
 	evidence *evidence
 	route    *routing.Route
 	shards   []string
 	deadline time.Time
-	// due is when the parts that are in are sent.
+	// due is when the parts received so far are sent.
 	due time.Time
-	// earlier is how many other routers may have asked servers before.
+	// earlier is how many other routers may have sent attempts before.
 	earlier int
-	// claims is where attempts beyond the first of a shard are asked for; a zero token
-	// is for those that need not be.
+	// claims is where to claim attempts beyond the first of a shard; with a zero token they
+	// need no claim.
 	claims claimTarget
-	// events receives one event for each part and one at the end; it has room for
-	// them all.
+	// events receives one event for each part and one at the end, and is buffered for all of
+	// them.
 	events chan<- *gatherEvent
-	// slice is the mark of its events.
+	// slice identifies the slice in its events.
 	slice int
 }
 
-// gatherEvent is what becomes of a slice.
+// gatherEvent is a part, a frame or the end of a slice.
 type gatherEvent struct {
 	slice int
-	// part is one that came in here, unless ended.
+	// part is a part that this router received from a server, unless ended.
 	part scatter.Part
-	// frame is what another router sent, unless nil.
+	// frame is a frame from another router, or nil.
 	frame *sliceFrame
-	// at is when the part or the frame came in.
+	// at is when the part or the frame arrived.
 	at time.Time
-	// ended says that nothing more comes; lost are the positions without a part.
+	// ended is set when no more parts follow; lost are the positions of the missing ones.
 	ended bool
 	lost  []int
-	// result tells of the attempts of a slice that was gathered here.
+	// result describes the attempts of a slice that this router gathered itself.
 	result scatter.Result
-	// failed says that another router failed; accepted that it may have sent
-	// something to servers.
+	// failed is set if another router failed, and accepted if it may have sent anything to
+	// servers.
 	failed   bool
 	accepted bool
 	reason   error
 }
 
-// gathering is a slice on its way through the engine.
-type gathering struct {
+// localGather is a slice that the engine of this router gathers.
+type localGather struct {
 	gateway *Gateway
 	id      chan scatter.RequestID
 }
 
-// submitShards gives shards to the engine.
-func (g *Gateway) submitShards(local localSlice) gathering {
-	arriving := submitted{
+// submitShards submits shards to the engine.
+func (g *Gateway) submitShards(local localSlice) localGather {
+	incoming := submission{
 		arrived: scatter.Arrived{
 			Route: local.route, Services: local.shards, Deadline: local.deadline, Due: local.due, Earlier: local.earlier,
 			Claims: local.claims.Token != 0,
@@ -181,9 +181,9 @@
 		claims: local.claims, request: local.request, evidence: local.evidence, id: make(chan scatter.RequestID, 1), events: local.events, slice: local.slice,
 	}
 	g.shardCalls.add(len(local.shards))
-	g.loop.requests <- arriving
-	return gathering{gateway: g, id: arriving.id}
+	g.loop.requests <- incoming
+	return localGather{gateway: g, id: incoming.id}
 }
 
-// abandon tells the engine that nobody waits any more.
-func (g gathering) abandon() { g.gateway.loop.events <- scatter.Abandoned{Request: <-g.id} }
+// abandon tells the engine that the result is no longer needed.
+func (g localGather) abandon() { g.gateway.loop.events <- scatter.Abandoned{Request: <-g.id} }
--- a/internal/gateway/slice_test.go
+++ b/internal/gateway/slice_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestFramesAreReadAsTheyWereWritten(t *testing.T) {
+func TestFramesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shards := rapid.IntRange(1, 50).Draw(t, "shards")
 		position := rapid.IntRange(0, shards-1)
@@ -32,7 +32,7 @@
 	})
 }
 
-func TestDamagedFramesAreRefused(t *testing.T) {
+func TestMalformedFramesAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 1, 60).Draw(t, "body")
 		frame, err := decodeFrame(body, 3)
@@ -44,20 +44,20 @@
 			require.Less(t, shard, 3)
 		}
 	})
-	whole := sliceFrame{Shards: []int{1}, Stamps: []string{"stamp"}, Records: make([]byte, recordBytes)}.encode()
-	for length := range len(whole) {
-		_, err := readFrame(bytes.NewReader(whole[:length]), 3)
+	encoded := sliceFrame{Shards: []int{1}, Stamps: []string{"stamp"}, Records: make([]byte, recordBytes)}.encode()
+	for length := range len(encoded) {
+		_, err := readFrame(bytes.NewReader(encoded[:length]), 3)
 		require.Error(t, err, length)
 	}
 }
 
-func TestLagFollowsTheSlowAndForgets(t *testing.T) {
+func TestLagRisesAtOnceAndDecays(t *testing.T) {
 	var observed lag
 	require.Equal(t, 4*time.Millisecond, observed.margin(4*time.Millisecond))
 	observed.observe(12 * time.Millisecond)
 	require.Equal(t, 12*time.Millisecond, observed.margin(0))
 	observed.observe(time.Minute)
-	require.Equal(t, longestLag, observed.margin(0))
+	require.Equal(t, maxLag, observed.margin(0))
 	for range 200 {
 		observed.observe(time.Millisecond)
 	}
--- a/internal/gateway/stale_directory_test.go
+++ b/internal/gateway/stale_directory_test.go
@@ -13,23 +13,23 @@
 	"github.com/martenstage/martenstage/internal/registry"
 )
 
-// longStale is an age at which a node's state is out of date.
+// longStale is an age at which a node's state is stale.
 const longStale = 10 * directory.StaleAfter
 
-// setFresh makes a stub say when its state held all that had been acknowledged, counted from
-// the arrival of each call.
+// setFresh sets when the stub's state contained everything acknowledged, relative to the
+// arrival of each call.
 func (d *directoryStub) setFresh(at time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.reply.Fresh = &at
 }
 
-// logs reports whether the router logged a message.
-func (s *site) logs(message string) bool {
+// hasLogged reports whether the router logged a message.
+func (s *site) hasLogged(message string) bool {
 	return lo.ContainsBy(s.logged.AllEntries(), func(entry *logrus.Entry) bool { return entry.Message == message })
 }
 
-// addNode adds a directory node that knows the same as the site's first one.
+// addNode adds a directory node with the same state as the site's first one.
 func (s *site) addNode(source string) *directoryStub {
 	s.directory.mutex.Lock()
 	defer s.directory.mutex.Unlock()
@@ -40,47 +40,48 @@
 	return added
 }
 
-// TestRouterGoesOnByANodeThatIsBehind guards against a router that stays with a directory node
-// whose state is out of date, and so sends to a server whose departure was acknowledged.
-func TestRouterGoesOnByANodeThatIsBehind(t *testing.T) {
+// TestRouterLeavesAStaleNode guards against a router that stays with a directory node whose
+// state is stale, and so calls a server whose departure was acknowledged.
+func TestRouterLeavesAStaleNode(t *testing.T) {
 	s := startSite(t, nil, map[string]http.HandlerFunc{"s": echo})
 	s.directory.setFresh(0)
 	s.install(oneRoute(1, "s"))
-	require.Equal(t, http.StatusOK, s.ask(http.MethodGet, "/a/x", nil).status)
+	require.Equal(t, http.StatusOK, s.send(http.MethodGet, "/a/x", nil).status)
 	current := s.addNode("current")
 	current.mutex.Lock()
 	current.reply.Departed, current.reply.Departures = []string{"i-s"}, 1
 	current.mutex.Unlock()
 	s.directory.setFresh(-longStale)
-	require.Eventually(t, func() bool { return s.ask(http.MethodGet, "/a/x", nil).status == http.StatusServiceUnavailable }, 10*time.Second, 10*time.Millisecond)
-	require.True(t, s.logs("directory_left"))
-	require.True(t, s.logs("departures_taken"))
+	require.Eventually(t, func() bool { return s.send(http.MethodGet, "/a/x", nil).status == http.StatusServiceUnavailable }, 10*time.Second, 10*time.Millisecond)
+	require.True(t, s.hasLogged("directory_left"))
+	require.True(t, s.hasLogged("departures_taken"))
 }
 
-// TestRouterStopsServingWhereNoNodeIsCurrent guards against a router that gives up the servers it
-// knows because the state of every node is out of date.
-func TestRouterStopsServingWhereNoNodeIsCurrent(t *testing.T) {
+// TestRouterKeepsServingWhenAllNodesAreStale guards against a router that discards its servers
+// because the state of every node is stale.
+func TestRouterKeepsServingWhenAllNodesAreStale(t *testing.T) {
 	s := startSite(t, nil, map[string]http.HandlerFunc{"s": echo})
 	s.directory.setFresh(0)
 	s.install(oneRoute(1, "s"))
 	other := s.addNode("other")
 	other.setFresh(-longStale)
 	s.directory.setFresh(-longStale)
-	require.Eventually(t, func() bool { return s.logs("directory_stale: no node has a newer state") }, 10*time.Second, 10*time.Millisecond)
-	require.Equal(t, http.StatusOK, s.ask(http.MethodGet, "/a/x", nil).status)
-	require.False(t, s.logs("directory_left"))
-	require.False(t, s.logs("directory_lost"))
+	require.Eventually(t, func() bool { return s.hasLogged("directory_stale: no node has a newer state") }, 10*time.Second, 10*time.Millisecond)
+	require.Equal(t, http.StatusOK, s.send(http.MethodGet, "/a/x", nil).status)
+	require.False(t, s.hasLogged("directory_left"))
+	require.False(t, s.hasLogged("directory_lost"))
 	s.directory.setFresh(0)
 	calls := s.directory.calls.Load()
 	require.Eventually(t, func() bool { return s.directory.calls.Load() > calls+2 }, 10*time.Second, time.Millisecond)
 	s.logged.Reset()
 	s.directory.setFresh(-longStale)
-	require.Eventually(t, func() bool { return s.logs("directory_stale: no node has a newer state") }, 10*time.Second, 10*time.Millisecond, "it is told once only")
+	require.Eventually(t, func() bool { return s.hasLogged("directory_stale: no node has a newer state") }, 10*time.Second, 10*time.Millisecond, "the message is logged only once")
 }
 
-// TestRouterAsksOtherNodesOverAndOver guards against calls to nodes that are not followed: none
-// while the followed one is current, and one to each node in each look where all are out of date.
-func TestRouterAsksOtherNodesOverAndOver(t *testing.T) {
+// TestProbesOfOtherNodesAreLimited guards against needless calls to nodes that are not
+// followed: none while the followed node is current, and one to each node per search while all
+// are stale.
+func TestProbesOfOtherNodesAreLimited(t *testing.T) {
 	const rounds = 20
 	s := startSite(t, nil, map[string]http.HandlerFunc{"s": echo})
 	s.directory.setFresh(0)
@@ -93,14 +94,14 @@
 	s.directory.setFresh(-longStale)
 	require.Eventually(t, func() bool { return other.calls.Load() >= 2 }, 10*time.Second, time.Millisecond)
 	followed = s.directory.calls.Load()
-	asked := other.calls.Load()
+	probed := other.calls.Load()
 	require.Eventually(t, func() bool { return s.directory.calls.Load() >= followed+rounds }, 10*time.Second, time.Millisecond)
-	require.Less(t, other.calls.Load()-asked, int64(rounds/2), "each call looks for another node")
+	require.Less(t, other.calls.Load()-probed, int64(rounds/2), "each call searches for another node")
 }
 
-// TestRouterSendsToAServerThatLeftByItsName guards against a router that goes on with a start of a
-// server whose departure names the server alone, or that leaves out its next start as well.
-func TestRouterSendsToAServerThatLeftByItsName(t *testing.T) {
+// TestDepartureByNameAffectsOnlyEarlierStarts guards against a router that keeps calling a
+// server whose departure gives only its name, or that ignores the server's next start as well.
+func TestDepartureByNameAffectsOnlyEarlierStarts(t *testing.T) {
 	s := startSite(t, nil, map[string]http.HandlerFunc{"s": echo})
 	s.directory.mutex.Lock()
 	left := s.directory.reply.Instances[0]
@@ -108,15 +109,15 @@
 	s.directory.reply.Instances = []registry.Instance{left}
 	s.directory.mutex.Unlock()
 	s.install(oneRoute(1, "s"))
-	require.Eventually(t, func() bool { return s.ask(http.MethodGet, "/a/x", nil).status == http.StatusOK }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return s.send(http.MethodGet, "/a/x", nil).status == http.StatusOK }, 10*time.Second, 10*time.Millisecond)
 	s.directory.mutex.Lock()
 	s.directory.reply.DepartedNames = []registry.NameDeparture{{Name: "i-s", Before: 5}}
 	s.directory.mutex.Unlock()
-	require.Eventually(t, func() bool { return s.ask(http.MethodGet, "/a/x", nil).status == http.StatusServiceUnavailable }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return s.send(http.MethodGet, "/a/x", nil).status == http.StatusServiceUnavailable }, 10*time.Second, 10*time.Millisecond)
 	next := left
 	next.ID, next.Since = registry.LifeID("i-s", 400), 6
 	s.directory.mutex.Lock()
 	s.directory.reply.Instances = []registry.Instance{left, next}
 	s.directory.mutex.Unlock()
-	require.Eventually(t, func() bool { return s.ask(http.MethodGet, "/a/x", nil).header.Get("X-Stamp") == "of-"+next.ID }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return s.send(http.MethodGet, "/a/x", nil).header.Get("X-Stamp") == "of-"+next.ID }, 10*time.Second, 10*time.Millisecond)
 }
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -11,24 +11,25 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// view says by which directory node's word a router goes, and how old that word is.
+// view tells which directory node a router's knowledge comes from, and how old it is.
 type view struct {
 	node, source string
-	// at is when the node's state held all that had been acknowledged; zero if no node told.
+	// at is when the node's state contained everything acknowledged; zero if no node has
+	// reported it.
 	at time.Time
 }
 
-// viewOf returns the view that a reply to a call gives, which was sent at a time.
-func viewOf(node string, asked time.Time, reply directory.FollowReply) view {
-	taken := view{node: node, source: reply.Source}
+// viewOf returns the view given by a reply to a call that was sent at sentAt.
+func viewOf(node string, sentAt time.Time, reply directory.FollowReply) view {
+	newView := view{node: node, source: reply.Source}
 	if reply.Fresh != nil {
-		taken.at = asked.Add(*reply.Fresh)
+		newView.at = sentAt.Add(*reply.Fresh)
 	}
-	return taken
+	return newView
 }
 
-// age is how old what the router knows is at most; from is when that is counted from where no
-// node told.
+// age returns the greatest possible age of the view; it is counted from the second time if no
+// node has reported one.
 func (v view) age(now, from time.Time) time.Duration {
 	if v.at.IsZero() {
 		return now.Sub(from)
@@ -36,46 +37,46 @@
 	return now.Sub(v.at)
 }
 
-// viewed returns the present view.
-func (g *Gateway) viewed() view {
+// currentView returns the current view.
+func (g *Gateway) currentView() view {
 	if held := g.view.Load(); held != nil {
 		return *held
 	}
 	return view{}
 }
 
-// viewAge is how old what this router knows of servers is at most.
-func (g *Gateway) viewAge(now time.Time) time.Duration { return g.viewed().age(now, g.started) }
+// viewAge returns the greatest possible age of this router's knowledge of servers.
+func (g *Gateway) viewAge(now time.Time) time.Duration { return g.currentView().age(now, g.started) }
 
-// takeView takes in whose word the router goes by, and logs when that is another node's.
-func (f *follower) takeView(taken view) {
-	before := f.gateway.viewed()
-	if taken.at.Before(before.at) {
-		taken.at = before.at
+// updateView stores a new view, and logs a change of the source.
+func (f *follower) updateView(newView view) {
+	before := f.gateway.currentView()
+	if newView.at.Before(before.at) {
+		newView.at = before.at
 	}
-	f.gateway.view.Store(&taken)
-	if taken.source == before.source {
+	f.gateway.view.Store(&newView)
+	if newView.source == before.source {
 		return
 	}
 	now := steadyclock.Now()
 	f.gateway.metrics.directoryChanges.Inc()
 	f.gateway.logger.WithFields(logrus.Fields{
-		"directory": taken.node, "source": taken.source, "before": before.node,
-		"view_age": taken.age(now, f.gateway.started), "view_age_before": before.age(now, f.gateway.started),
+		"directory": newView.node, "source": newView.source, "before": before.node,
+		"view_age": newView.age(now, f.gateway.started), "view_age_before": before.age(now, f.gateway.started),
 	}).Info("directory_followed")
 }
 
-// maxDeparturesTold bounds the ids that a line about departures names.
-const maxDeparturesTold = 4
+// maxLoggedDepartures bounds the ids in a log line about departures.
+const maxLoggedDepartures = 4
 
-// tellDepartures logs which departures were taken in, and from whom.
-func (f *follower) tellDepartures(ids []string, from view) {
+// logDepartures logs which departures were applied, and from which node.
+func (f *follower) logDepartures(ids []string, from view) {
 	if len(ids) == 0 {
 		return
 	}
 	f.gateway.metrics.departures.Add(float64(len(ids)))
 	f.gateway.logger.WithFields(logrus.Fields{
-		"departures": len(ids), "some": strings.Join(lo.Slice(ids, 0, maxDeparturesTold), " "),
+		"departures": len(ids), "some": strings.Join(lo.Slice(ids, 0, maxLoggedDepartures), " "),
 		"directory": from.node, "view_age": from.age(steadyclock.Now(), f.gateway.started),
 	}).Info("departures_taken")
 }
