--- a/internal/directory/cluster_test.go
+++ b/internal/directory/cluster_test.go
@@ -25,10 +25,10 @@
 	"github.com/martenstage/martenstage/internal/routing"
 )
 
-// patience bounds waits for what has to come about in the end.
-const patience = 20 * time.Second
+// waitTimeout bounds waits for conditions that must eventually hold.
+const waitTimeout = 20 * time.Second
 
-// cluster is a set of nodes of one test.
+// cluster is the set of nodes of one test.
 type cluster struct {
 	t         *testing.T
 	addresses []string
@@ -37,12 +37,12 @@
 	seeds     []string
 	// losses is how many nodes may be lost at once.
 	losses int
-	// disks hold the nodes' logs, logged what nodes logged.
+	// disks wrap the nodes' logs, logged holds the log entries of the nodes.
 	disks  []*faultydisk.Disk
 	logged []*logtest.Hook
 }
 
-// runningNode is a node with its listener; nil fields while it is down.
+// runningNode is a node with its listener; the cluster's entry is nil while it is down.
 type runningNode struct {
 	*directory.Node
 	server *http.Server
@@ -50,7 +50,7 @@
 	done   chan error
 }
 
-// document is a text that checkDocument reads: "VERSION TEXT".
+// document returns a text that checkDocument parses: "VERSION TEXT".
 func document(version int, text string) []byte { return []byte(strconv.Itoa(version) + " " + text) }
 
 func checkDocument(text []byte) (uint64, error) {
@@ -62,7 +62,7 @@
 	return version, nil
 }
 
-// readLimits reads "VERSION limit NAME RATE BURST".
+// readLimits parses "VERSION limit NAME RATE BURST".
 func readLimits(text []byte) (map[string]quota.Limit, error) {
 	fields := strings.Fields(string(text))
 	if len(fields) != 5 || fields[1] != "limit" {
@@ -110,7 +110,7 @@
 	c.nodes[index] = started
 }
 
-// stop ends a node as planned; it does nothing to one that is down.
+// stop shuts a node down cleanly; it does nothing if the node is down.
 func (c *cluster) stop(index int) {
 	if node := c.nodes[index]; node != nil {
 		c.nodes[index] = nil
@@ -147,7 +147,7 @@
 // eventually waits until a condition holds at some node.
 func (c *cluster) eventually(message string, holds func(*runningNode) bool) {
 	c.t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		for _, node := range c.nodes {
 			if node != nil && holds(node) {
 				return
@@ -157,8 +157,8 @@
 	require.Fail(c.t, message)
 }
 
-// everywhere waits until a condition holds at each node that is up.
-func (c *cluster) everywhere(message string, holds func(*runningNode) bool) {
+// eventuallyEverywhere waits until a condition holds at each running node.
+func (c *cluster) eventuallyEverywhere(message string, holds func(*runningNode) bool) {
 	c.t.Helper()
 	for index, node := range c.nodes {
 		if node != nil {
@@ -174,7 +174,7 @@
 	}
 }
 
-// hasVoters reports whether a node knows of so many voters at the addresses.
+// hasVoters reports whether the voters known to a node are exactly those at the given indexes.
 func (c *cluster) hasVoters(indexes ...int) func(*runningNode) bool {
 	return func(node *runningNode) bool {
 		voters := node.Voters()
--- a/internal/directory/demand.go
+++ b/internal/directory/demand.go
@@ -5,34 +5,33 @@
 	"time"
 )
 
-// Steps of demand.
+// Parameters of the demand steps.
 const (
-	// demandStep is the factor from one step to the next: how many routers gather a
-	// shard follows the steps, and each change moves connections.
+	// demandStep is the ratio between two steps. The number of routers that gather a shard
+	// depends on the step, and each change of it moves connections.
 	demandStep = 2.0
-	// demandHold is for how long demand has to stay below a step before a lower one
-	// is told: longer than a restart of all routers, after which few calls are made.
+	// demandHold is how long demand must stay below a step before a lower one is reported. It
+	// exceeds a restart of all routers, after which few calls are made.
 	demandHold = 15 * time.Second
 )
 
-// demand follows, in steps, how many calls to servers all routers make a second: up at
-// once, down only after it was less for some time. The zero value is ready for use; its
-// owner guards it.
+// demand tracks, in steps, the rate of calls that all routers make to servers. It rises at once
+// and falls only after demandHold. The zero value is ready for use; the owner synchronizes
+// access.
 type demand struct {
 	level float64
-	// enough is when the level was last needed.
-	enough time.Time
+	// lastNeeded is when the current level was last needed.
+	lastNeeded time.Time
 }
 
-// follow takes in the calls a second that were counted, and returns the step: none
-// below it would hold them.
-func (d *demand) follow(now time.Time, calls float64) float64 {
+// update records the measured calls per second and returns the step, which is at least as high.
+func (d *demand) update(now time.Time, calls float64) float64 {
 	needed := 0.0
 	if calls > 0 {
 		needed = math.Pow(demandStep, math.Ceil(math.Log(max(1, calls))/math.Log(demandStep)))
 	}
-	if needed >= d.level || now.Sub(d.enough) > demandHold {
-		d.level, d.enough = needed, now
+	if needed >= d.level || now.Sub(d.lastNeeded) > demandHold {
+		d.level, d.lastNeeded = needed, now
 	}
 	return d.level
 }
--- a/internal/directory/departing.go
+++ b/internal/directory/departing.go
@@ -12,26 +12,27 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// Heartbeat takes in what a server says of itself. Leaving is acknowledged, by a nil error, only
-// once a quorum has it; else the error is ErrUnavailable, as it is for a start that this node
-// can't tell from one that left.
+// Heartbeat records a heartbeat of a server. A heartbeat in the leaving state is acknowledged,
+// by a nil error, only once a quorum has synced the departure; otherwise the error is
+// ErrUnavailable. ErrUnavailable is also returned for a start that this node can't tell from a
+// departed one.
 func (n *Node) Heartbeat(ctx context.Context, instance registry.Instance) error {
 	if instance.State != registry.Leaving && !n.mayRegister(ctx, instance) {
-		return errors.Wrap(ErrUnavailable, "the state is not confirmed: a new start can't be told from one that left")
+		return errors.Wrap(ErrUnavailable, "state not confirmed: a new start can't be told from a departed one")
 	}
-	n.report(instance)
+	n.recordHeartbeat(instance)
 	if instance.State == registry.Leaving {
 		return n.Depart(ctx, registry.NameOf(instance.ID), instance.Born)
 	}
 	return nil
 }
 
-// mayRegister reports whether a heartbeat can be taken in. A departure that names no start
-// holds for those that were heard of before it: before a new start of a server that keeps its name
-// is taken in, this node's state has to hold each departure that was acknowledged.
+// mayRegister reports whether a heartbeat can be accepted. A departure that names no start
+// applies to the starts known before it, so before accepting an unknown start of a server that
+// keeps its name, this node's state must include every acknowledged departure.
 func (n *Node) mayRegister(ctx context.Context, instance registry.Instance) bool {
 	if instance.Born == 0 {
-		return true // Its id is never used again.
+		return true // Its id is never reused.
 	}
 	n.mutex.Lock()
 	known := n.registry.Knows(instance.ID)
@@ -39,126 +40,128 @@
 	return known || n.awaitFresh(ctx, steadyclock.Now())
 }
 
-// Depart takes in that a server leaves or is gone: its start at a time, ms since 1970 by its own
-// clock, or with 0 every start that was heard of before. It is acknowledged like leaving in
-// Heartbeat; without a start only where one is known, since what nobody has heard of can't be told
-// from a later start.
-func (n *Node) Depart(ctx context.Context, name string, born int64) error {
-	message, done := n.departure(name, born)
-	if done {
+// Depart records that a server is leaving or has failed. startTime, in ms since 1970 by the
+// server's clock, selects one start; 0 selects all starts known so far. It is acknowledged like
+// a leaving Heartbeat. With startTime 0 it is acknowledged only if some start is known, because
+// an unknown start can't be told from a later one.
+func (n *Node) Depart(ctx context.Context, name string, startTime int64) error {
+	message, recorded := n.newDeparture(name, startTime)
+	if recorded {
 		return nil
 	}
-	began := steadyclock.Now()
+	receivedAt := steadyclock.Now()
 	if message.Name != "" && !message.Known {
-		n.askHeard(ctx, &message)
+		n.queryStarts(ctx, &message)
 	}
-	err := n.atLeader(ctx, func(ctx context.Context) error { return n.departHere(ctx, message) }, pathDepart, message, nil)
-	n.record("depart", began, err, logrus.Fields{"instance": message.ID, "starts": message.Starts})
+	err := n.onLeader(ctx, func(ctx context.Context) error { return n.departAsLeader(ctx, message) }, pathDepart, message, nil)
+	n.recordOperation("depart", receivedAt, err, logrus.Fields{"instance": message.ID, "starts": message.Starts})
 	return err
 }
 
-// departure returns what has to be recorded for a server to leave, or that it is recorded.
-func (n *Node) departure(name string, born int64) (message departMessage, done bool) {
+// newDeparture returns the message that records a departure, or recorded if the log already has
+// it.
+func (n *Node) newDeparture(name string, startTime int64) (message departMessage, recorded bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	applied, starts := n.member.state(), n.registry.Starts(name)
-	if born == 0 {
-		message = departMessage{ID: name, Starts: lo.Without(starts, name), Name: name, Known: n.knows(name)}
-		// A name that is an id of its own is never used again.
-		return message, applied.hasDeparted(name) && len(starts) == 1 && starts[0] == name
+	state, starts := n.member.state(), n.registry.Starts(name)
+	if startTime == 0 {
+		message = departMessage{ID: name, Starts: lo.Without(starts, name), Name: name, Known: n.knowsServer(name)}
+		// A name that is itself an id is never reused.
+		return message, state.hasDeparted(name) && len(starts) == 1 && starts[0] == name
 	}
-	message = departMessage{ID: registry.LifeID(name, born), Start: &departedStart{Name: name, Born: born}}
+	message = departMessage{ID: registry.LifeID(name, startTime), Start: &departedStart{Name: name, StartTime: startTime}}
 	message.Starts = n.registry.Former(message.ID)
 	if !lo.Contains(starts, message.ID) {
-		// Its heartbeats, if there are any, may have named no start.
+		// The server's heartbeats, if any, may not have named a start.
 		message.Starts = []string{name}
 	}
-	return message, applied.hasDeparted(message.ID)
+	return message, state.hasDeparted(message.ID)
 }
 
-// knows reports whether a departure of a server that names no start can be told from a later
-// start. That servers don't keep their names shows once all had time to announce themselves. The
-// caller holds the mutex.
-func (n *Node) knows(name string) bool {
+// knowsServer reports whether a departure of a server that names no start can be told from a
+// later start. Once the node is settled, the registry shows whether servers keep their names at
+// all. The caller holds the mutex.
+func (n *Node) knowsServer(name string) bool {
 	return n.registry.Heard(steadyclock.Now(), name) || n.settled && !n.registry.KeepNames()
 }
 
-// heardTimeout bounds the call by which a node asks the others for the starts of a server.
-const heardTimeout = 250 * time.Millisecond
+// startsTimeout bounds the query to the other nodes for the known starts of a server.
+const startsTimeout = 250 * time.Millisecond
 
-// heardRequest asks a node whether it has heard of a server.
-type heardRequest struct {
+// startsRequest asks a node for the starts of a server that it knows.
+type startsRequest struct {
 	Name string `json:"name"`
 }
 
-// heardReply says whether a node has heard of a server, and of which of its starts.
-type heardReply struct {
-	Heard  bool     `json:"heard"`
+// startsReply reports whether a node knows a server, and which of its starts.
+type startsReply struct {
+	Known  bool     `json:"heard"`
 	Starts []string `json:"starts,omitempty"`
 }
 
-// heard answers another node that was told of the departure of a server that it has not heard of.
-func (n *Node) heard(asked heardRequest) heardReply {
+// knownStarts answers another node that received a departure of a server unknown to it.
+func (n *Node) knownStarts(request startsRequest) startsReply {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return heardReply{Heard: n.registry.Heard(steadyclock.Now(), asked.Name), Starts: n.registry.Starts(asked.Name)}
+	return startsReply{Known: n.registry.Heard(steadyclock.Now(), request.Name), Starts: n.registry.Starts(request.Name)}
 }
 
-// askHeard asks all other nodes at once for the starts of a server and adds them to its departure: a
-// heartbeat that one of them has acknowledged is shared with this one only a while later.
-func (n *Node) askHeard(ctx context.Context, message *departMessage) {
-	others := n.peerAddresses()
-	replies := make(chan heardReply, len(others))
-	calling, cancel := context.WithTimeout(ctx, heardTimeout)
+// queryStarts queries all other nodes concurrently for the starts of a server and adds them to
+// its departure: a heartbeat acknowledged by another node reaches this one only with the next
+// share.
+func (n *Node) queryStarts(ctx context.Context, message *departMessage) {
+	peers := n.peerAddresses()
+	replies := make(chan startsReply, len(peers))
+	callCtx, cancel := context.WithTimeout(ctx, startsTimeout)
 	defer cancel()
-	for _, address := range others {
+	for _, address := range peers {
 		go func() {
-			var reply heardReply
-			if err := n.peers.call(calling, address, pathHeard, heardRequest{Name: message.Name}, &reply); err != nil {
+			var reply startsReply
+			if err := n.peers.call(callCtx, address, pathKnownStarts, startsRequest{Name: message.Name}, &reply); err != nil {
 				n.logger.WithField("node", address).WithField("instance", message.Name).WithField("reason", err).Info("starts_not_told")
 			}
 			replies <- reply
 		}()
 	}
-	for range others {
+	for range peers {
 		reply := <-replies
-		message.Known = message.Known || reply.Heard
+		message.Known = message.Known || reply.Known
 		message.Starts = lo.Uniq(append(message.Starts, lo.Without(reply.Starts, message.ID)...))
 	}
 }
 
-// departHere is Depart at the leader, which adds the starts that it knows of.
-func (n *Node) departHere(ctx context.Context, message departMessage) error {
+// departAsLeader is Depart at the leader, which adds the starts that it knows.
+func (n *Node) departAsLeader(ctx context.Context, message departMessage) error {
 	if !n.mayAcknowledge() {
 		return errNotFormed
 	}
-	departed, known := n.departedBy(message)
-	_, err := n.propose(ctx, departed)
+	proposed, known := n.departureCommand(message)
+	_, err := n.propose(ctx, proposed)
 	if err == nil && !known {
-		return errNotHeard
+		return errUnknownServer
 	}
 	return err
 }
 
-// departedBy returns what a departure binds by what the leader knows as well, and whether the server
-// is known.
-func (n *Node) departedBy(message departMessage) (departed command, known bool) {
+// departureCommand returns the log command for a departure, including the starts that the
+// leader knows, and whether the server is known.
+func (n *Node) departureCommand(message departMessage) (proposed command, known bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	ids, known := append([]string{message.ID}, message.Starts...), true
 	if message.Name != "" {
-		departed.Names = []string{message.Name}
+		proposed.Names = []string{message.Name}
 		ids = append(ids, n.registry.Starts(message.Name)...)
-		known = message.Known || n.knows(message.Name)
+		known = message.Known || n.knowsServer(message.Name)
 	}
 	if message.Start != nil {
-		departed.Starts = []departedStart{*message.Start}
+		proposed.Starts = []departedStart{*message.Start}
 		ids = append(ids, n.registry.Former(message.ID)...)
 	}
-	departed.Departures = lo.Uniq(ids)
-	return departed, known
+	proposed.Departures = lo.Uniq(ids)
+	return proposed, known
 }
 
-// errNotHeard is an ErrUnavailable: what is known to routers of the server leaves, but a heartbeat
-// that is still to come would be taken for one of a new start.
-var errNotHeard = &refusedError{detail: "no node that answers has heard of the server"}
+// errUnknownServer is an ErrUnavailable: the ids that routers know of the server are marked as
+// departed, but a later heartbeat would be accepted as a new start.
+var errUnknownServer = &refusedError{detail: "no node that answers has heard of the server"}
--- a/internal/directory/departures_test.go
+++ b/internal/directory/departures_test.go
@@ -18,41 +18,41 @@
 	"github.com/martenstage/martenstage/internal/registry"
 )
 
-// stateShownFor is for how long a test looks at what nodes tell.
-const stateShownFor = 3 * time.Second
+// observationTime is how long a test watches the replies of nodes.
+const observationTime = 3 * time.Second
 
-// newsOf asks a node for all that it tells a router that is new.
-func newsOf(node *runningNode) (directory.FollowReply, error) {
+// followAsNewRouter requests everything that a node sends to a new router.
+func followAsNewRouter(node *runningNode) (directory.FollowReply, error) {
 	return node.Follow(context.Background(), directory.FollowRequest{Router: directory.Router{Name: "test"}})
 }
 
-// startOf is a heartbeat of one start of a server that keeps its name.
-func startOf(name string, born int64, state registry.State, sequence uint64) registry.Instance {
-	beat := instance(name, "s", state, sequence)
-	beat.ID, beat.Born = registry.LifeID(name, born), born
-	return beat
+// heartbeatOf returns a heartbeat of one start of a server that keeps its name.
+func heartbeatOf(name string, startTime int64, state registry.State, sequence uint64) registry.Instance {
+	heartbeat := instance(name, "s", state, sequence)
+	heartbeat.ID, heartbeat.Born = registry.LifeID(name, startTime), startTime
+	return heartbeat
 }
 
-// wholeCluster returns a group of its full size whose nodes are all current.
-func wholeCluster(t *testing.T) *cluster {
+// newFormedCluster returns a group of its full size whose nodes are all current.
+func newFormedCluster(t *testing.T) *cluster {
 	c := newCluster(t, 3)
 	c.losses = 1
 	c.startAll(true)
 	c.put(document(1, "first"))
-	c.everywhere("not fresh", freshWithin(time.Second))
+	c.eventuallyEverywhere("not fresh", freshWithin(time.Second))
 	return c
 }
 
-// TestNodeBehindTheLogCallsItsStateFresh guards against a node whose disk is held up certifying a
-// state as fresh that lacks an acknowledged departure.
-func TestNodeBehindTheLogCallsItsStateFresh(t *testing.T) {
+// TestNodeBehindTheLogDoesNotReportAFreshState guards against a node with a stalled disk that
+// reports a state as fresh although it lacks an acknowledged departure.
+func TestNodeBehindTheLogDoesNotReportAFreshState(t *testing.T) {
 	c := newCluster(t, 5)
 	c.startAll(true)
 	c.put(document(1, "first"))
-	c.everywhere("not five voters", c.hasVoters(0, 1, 2, 3, 4))
-	c.everywhere("not fresh", freshWithin(time.Second))
+	c.eventuallyEverywhere("not five voters", c.hasVoters(0, 1, 2, 3, 4))
+	c.eventuallyEverywhere("not fresh", freshWithin(time.Second))
 	require.NoError(t, c.nodes[0].Heartbeat(context.Background(), instance("i1", "s", registry.Ready, 1)))
-	c.everywhere("not known", func(node *runningNode) bool { return stateAt(node, "i1") == registry.Ready })
+	c.eventuallyEverywhere("not known", func(node *runningNode) bool { return stateAt(node, "i1") == registry.Ready })
 	behind := c.follower()
 	release := c.disks[behind].Stall()
 	defer release()
@@ -60,61 +60,62 @@
 		return node != c.nodes[behind] && node.Depart(context.Background(), "i1", 0) == nil
 	})
 	acknowledged := time.Now()
-	for time.Since(acknowledged) < stateShownFor {
-		asked := time.Now()
-		reply, err := newsOf(c.nodes[behind])
+	for time.Since(acknowledged) < observationTime {
+		requestedAt := time.Now()
+		reply, err := followAsNewRouter(c.nodes[behind])
 		if err == nil && reply.Fresh != nil && !slices.Contains(reply.Departed, "i1") {
-			require.False(t, asked.Add(*reply.Fresh).After(acknowledged), "a state without the departure was called fresh")
+			require.False(t, requestedAt.Add(*reply.Fresh).After(acknowledged), "a state without the departure was reported as fresh")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// TestDepartureWithoutAStartBindsNoServer guards against acknowledging a departure under an id
-// that nobody has, because the node has not heard of the server's start yet.
-func TestDepartureWithoutAStartBindsNoServer(t *testing.T) {
-	c := wholeCluster(t)
+// TestDepartureWithoutAStartAppliesToTheServer guards against acknowledging a departure under
+// an id that no server has, because the node does not know the server's start yet.
+func TestDepartureWithoutAStartAppliesToTheServer(t *testing.T) {
+	c := newFormedCluster(t)
 	ctx := context.Background()
-	require.NoError(t, c.nodes[0].Heartbeat(ctx, startOf("i1", 5, registry.Ready, 1)))
+	require.NoError(t, c.nodes[0].Heartbeat(ctx, heartbeatOf("i1", 5, registry.Ready, 1)))
 	require.NoError(t, c.nodes[1].Depart(ctx, "i1", 0))
-	c.everywhere("the server goes on as ready", func(node *runningNode) bool { return stateAt(node, "i1#5") == registry.Leaving })
+	c.eventuallyEverywhere("the server is still ready", func(node *runningNode) bool { return stateAt(node, "i1#5") == registry.Leaving })
 }
 
-// TestDepartureThatIsRecordedIsRefusedWhenRepeated guards against a server that is told that nobody has
-// heard of it, because it was silent since its departure, whose acknowledgement was lost.
-func TestDepartureThatIsRecordedIsRefusedWhenRepeated(t *testing.T) {
-	c := wholeCluster(t)
+// TestRepeatedDepartureIsAcknowledged guards against rejecting a repeated departure as that of
+// an unknown server, because the server has been silent since its departure and the first
+// acknowledgement was lost.
+func TestRepeatedDepartureIsAcknowledged(t *testing.T) {
+	c := newFormedCluster(t)
 	ctx := context.Background()
-	c.insist(func() error { return c.nodes[0].Heartbeat(ctx, startOf("i1", 5, registry.Ready, 1)) })
-	c.insist(func() error { return c.nodes[0].Heartbeat(ctx, startOf("i2", 5, registry.Ready, 1)) })
-	c.insist(func() error { return c.nodes[1].Depart(ctx, "i1", 0) })
-	c.everywhere("the other server is not silent", func(node *runningNode) bool { return stateAt(node, "i2#5") == registry.Missing })
+	c.retryUntilAcknowledged(func() error { return c.nodes[0].Heartbeat(ctx, heartbeatOf("i1", 5, registry.Ready, 1)) })
+	c.retryUntilAcknowledged(func() error { return c.nodes[0].Heartbeat(ctx, heartbeatOf("i2", 5, registry.Ready, 1)) })
+	c.retryUntilAcknowledged(func() error { return c.nodes[1].Depart(ctx, "i1", 0) })
+	c.eventuallyEverywhere("the other server is not silent", func(node *runningNode) bool { return stateAt(node, "i2#5") == registry.Missing })
 	for _, node := range c.nodes {
-		c.insist(func() error { return node.Depart(ctx, "i1", 0) })
+		c.retryUntilAcknowledged(func() error { return node.Depart(ctx, "i1", 0) })
 	}
 }
 
-// TestDepartureBindsNoStartThatNobodyHasHeardOf guards against a departure without a start that is
-// acknowledged by an earlier start, silent for long, and does not hold for the one in use, whose heartbeats
-// no node has taken in yet.
+// TestDepartureBindsNoStartThatNobodyHasHeardOf guards against a departure without a start that
+// is acknowledged because of an earlier, long silent start, and does not apply to the start in
+// use, whose heartbeats no node has accepted yet.
 func TestDepartureBindsNoStartThatNobodyHasHeardOf(t *testing.T) {
-	c := wholeCluster(t)
+	c := newFormedCluster(t)
 	ctx := context.Background()
-	c.insist(func() error { return c.nodes[0].Heartbeat(ctx, startOf("i1", 5, registry.Ready, 1)) })
-	c.everywhere("the earlier start is not silent", func(node *runningNode) bool { return stateAt(node, "i1#5") == registry.Missing })
+	c.retryUntilAcknowledged(func() error { return c.nodes[0].Heartbeat(ctx, heartbeatOf("i1", 5, registry.Ready, 1)) })
+	c.eventuallyEverywhere("the earlier start is not silent", func(node *runningNode) bool { return stateAt(node, "i1#5") == registry.Missing })
 	if c.nodes[1].Depart(ctx, "i1", 0) != nil {
 		return
 	}
-	// It goes on sending heartbeats, of which the first ones were lost.
-	c.insist(func() error { return c.nodes[0].Heartbeat(ctx, startOf("i1", 9, registry.Ready, 4)) })
-	c.everywhere("the start in use goes on as ready", func(node *runningNode) bool { return stateAt(node, "i1#9") == registry.Leaving })
+	// It keeps sending heartbeats, of which the first ones were lost.
+	c.retryUntilAcknowledged(func() error { return c.nodes[0].Heartbeat(ctx, heartbeatOf("i1", 9, registry.Ready, 4)) })
+	c.eventuallyEverywhere("the start in use is still ready", func(node *runningNode) bool { return stateAt(node, "i1#9") == registry.Leaving })
 }
 
-// insist repeats a call while the group has no leader, as servers do. That a server is unknown is never
-// a reason.
-func (c *cluster) insist(call func() error) {
+// retryUntilAcknowledged repeats a call while the group has no leader, as servers do. It fails
+// if the reason is that the server is unknown.
+func (c *cluster) retryUntilAcknowledged(call func() error) {
 	c.t.Helper()
-	for deadline := time.Now().Add(patience); ; {
+	for deadline := time.Now().Add(waitTimeout); ; {
 		err := call()
 		if err == nil {
 			return
@@ -125,31 +126,32 @@
 	}
 }
 
-// TestDepartureIsTakenWhereAnotherNodeHeardOfTheServer guards against a true departure that is refused
-// because the node and the leader have not been told yet of a heartbeat that a third one acknowledged.
-func TestDepartureIsTakenWhereAnotherNodeHeardOfTheServer(t *testing.T) {
+// TestDepartureIsAcknowledgedIfAnotherNodeKnowsTheServer guards against rejecting a valid
+// departure because neither the node nor the leader has received the heartbeat that a third
+// node acknowledged.
+func TestDepartureIsAcknowledgedIfAnotherNodeKnowsTheServer(t *testing.T) {
 	const servers = 40
-	c := wholeCluster(t)
+	c := newFormedCluster(t)
 	ctx := context.Background()
 	for number := range servers {
 		name := "i" + strconv.Itoa(number)
-		c.insist(func() error { return c.nodes[number%3].Heartbeat(ctx, startOf(name, 5, registry.Ready, 1)) })
-		c.insist(func() error { return c.nodes[(number+1)%3].Depart(ctx, name, 0) })
+		c.retryUntilAcknowledged(func() error { return c.nodes[number%3].Heartbeat(ctx, heartbeatOf(name, 5, registry.Ready, 1)) })
+		c.retryUntilAcknowledged(func() error { return c.nodes[(number+1)%3].Depart(ctx, name, 0) })
 	}
-	c.everywhere("a server goes on as ready", func(node *runningNode) bool {
-		reply, err := newsOf(node)
+	c.eventuallyEverywhere("a server is still ready", func(node *runningNode) bool {
+		reply, err := followAsNewRouter(node)
 		return err == nil && len(reply.Instances) == servers && lo.EveryBy(reply.Instances, func(known registry.Instance) bool {
 			return known.State == registry.Leaving
 		})
 	})
 }
 
-// TestDepartureThatNobodyHeardOfIsNotAcknowledged guards against the opposite: an acknowledgement that
-// a start which is heard of later is not bound by, whatever other servers are known.
-func TestDepartureThatNobodyHeardOfIsNotAcknowledged(t *testing.T) {
-	c := wholeCluster(t)
+// TestDepartureOfAnUnknownServerIsNotAcknowledged guards against acknowledging a departure that
+// does not apply to a start reported later, whatever other servers are known.
+func TestDepartureOfAnUnknownServerIsNotAcknowledged(t *testing.T) {
+	c := newFormedCluster(t)
 	ctx := context.Background()
-	require.NoError(t, c.nodes[0].Heartbeat(ctx, startOf("i1", 5, registry.Ready, 1)))
+	require.NoError(t, c.nodes[0].Heartbeat(ctx, heartbeatOf("i1", 5, registry.Ready, 1)))
 	for _, node := range c.nodes {
 		err := node.Depart(ctx, "i2", 0)
 		require.ErrorIs(t, err, directory.ErrUnavailable)
@@ -158,9 +160,9 @@
 	}
 }
 
-// TestHeartbeatBesideItsDepartureStaysReady guards against a heartbeat that is checked before a
-// departure is applied and taken into the table after it.
-func TestHeartbeatBesideItsDepartureStaysReady(t *testing.T) {
+// TestConcurrentHeartbeatAndDepartureEndAsLeaving guards against a heartbeat that is checked
+// before a departure is applied and entered into the table after it.
+func TestConcurrentHeartbeatAndDepartureEndAsLeaving(t *testing.T) {
 	const servers = 3000
 	c := newCluster(t, 1)
 	c.losses = 0
@@ -181,74 +183,76 @@
 	}
 	calls.Wait()
 	c.eventually("servers that have departed are not marked as leaving", func(node *runningNode) bool {
-		reply, err := newsOf(node)
+		reply, err := followAsNewRouter(node)
 		others := lo.CountBy(reply.Instances, func(known registry.Instance) bool { return known.State != registry.Leaving })
 		return err == nil && len(reply.Departed) == servers && others == 0
 	})
 }
 
-// TestNextStartOfADepartedServerIsNotServed guards against a departure without a start that holds
-// for a later start of the server as well, or no more for late heartbeats of the one that left.
-func TestNextStartOfADepartedServerIsNotServed(t *testing.T) {
-	c := wholeCluster(t)
+// TestNextStartOfADepartedServerIsServed guards against a departure without a start that also
+// applies to a later start of the server, or no longer applies to late heartbeats of the
+// departed start.
+func TestNextStartOfADepartedServerIsServed(t *testing.T) {
+	c := newFormedCluster(t)
 	ctx := context.Background()
-	require.NoError(t, c.nodes[0].Heartbeat(ctx, startOf("i1", 500, registry.Ready, 7)))
-	c.everywhere("not known", func(node *runningNode) bool { return stateAt(node, "i1#500") == registry.Ready })
+	require.NoError(t, c.nodes[0].Heartbeat(ctx, heartbeatOf("i1", 500, registry.Ready, 7)))
+	c.eventuallyEverywhere("not known", func(node *runningNode) bool { return stateAt(node, "i1#500") == registry.Ready })
 	require.NoError(t, c.nodes[1].Depart(ctx, "i1", 0))
-	// The clock of the server's machine was set back before its next start.
+	// The clock of the server's host was set back before its next start.
 	c.eventually("the next start is refused", func(node *runningNode) bool {
-		return node.Heartbeat(ctx, startOf("i1", 400, registry.Ready, 1)) == nil
+		return node.Heartbeat(ctx, heartbeatOf("i1", 400, registry.Ready, 1)) == nil
 	})
 	for _, node := range c.nodes {
-		require.NoError(t, node.Heartbeat(ctx, startOf("i1", 500, registry.Ready, 8)), "a late heartbeat")
+		require.NoError(t, node.Heartbeat(ctx, heartbeatOf("i1", 500, registry.Ready, 8)), "a late heartbeat")
 	}
 	sequence := uint64(1)
-	c.everywhere("the next start is not served", func(node *runningNode) bool {
+	c.eventuallyEverywhere("the next start is not served", func(node *runningNode) bool {
 		sequence++
-		require.NoError(t, c.nodes[0].Heartbeat(ctx, startOf("i1", 400, registry.Ready, sequence)))
+		require.NoError(t, c.nodes[0].Heartbeat(ctx, heartbeatOf("i1", 400, registry.Ready, sequence)))
 		return stateAt(node, "i1#400") == registry.Ready
 	})
-	c.everywhere("the start that left is served", func(node *runningNode) bool { return stateAt(node, "i1#500") == registry.Leaving })
+	c.eventuallyEverywhere("the departed start is served", func(node *runningNode) bool { return stateAt(node, "i1#500") == registry.Leaving })
 	require.NoError(t, c.nodes[2].Depart(ctx, "i1", 0))
-	c.everywhere("its own departure does not hold", func(node *runningNode) bool { return stateAt(node, "i1#400") == registry.Leaving })
+	c.eventuallyEverywhere("its own departure does not apply", func(node *runningNode) bool { return stateAt(node, "i1#400") == registry.Leaving })
 }
 
-// TestDepartureThatNamesAnUnknownStartBindsNoServer guards against acknowledging a start that no
-// heartbeat named, of a server whose heartbeats name none.
-func TestDepartureThatNamesAnUnknownStartBindsNoServer(t *testing.T) {
-	c := wholeCluster(t)
+// TestDepartureOfAnUnknownStartAppliesToTheServer guards against a departure that names a start
+// unknown from heartbeats and therefore does not apply to the server, whose heartbeats name no
+// start.
+func TestDepartureOfAnUnknownStartAppliesToTheServer(t *testing.T) {
+	c := newFormedCluster(t)
 	ctx := context.Background()
 	require.NoError(t, c.nodes[0].Heartbeat(ctx, instance("i1", "s", registry.Ready, 1)))
 	require.NoError(t, c.nodes[1].Depart(ctx, "i1", 77))
-	c.everywhere("the server goes on as ready", func(node *runningNode) bool { return stateAt(node, "i1") == registry.Leaving })
+	c.eventuallyEverywhere("the server is still ready", func(node *runningNode) bool { return stateAt(node, "i1") == registry.Leaving })
 }
 
-// TestNodeBehindTheLogTakesAStartInThatIsOld guards against a node that lacks a departure and
-// calls a new start of the same server one that left.
-func TestNodeBehindTheLogTakesAStartInThatIsOld(t *testing.T) {
-	c := wholeCluster(t)
+// TestNodeBehindTheLogRejectsNewStarts guards against a node that lacks a departure and treats
+// a new start of the same server as the departed one.
+func TestNodeBehindTheLogRejectsNewStarts(t *testing.T) {
+	c := newFormedCluster(t)
 	ctx := context.Background()
-	require.NoError(t, c.nodes[0].Heartbeat(ctx, startOf("i1", 5, registry.Ready, 1)))
+	require.NoError(t, c.nodes[0].Heartbeat(ctx, heartbeatOf("i1", 5, registry.Ready, 1)))
 	behind := c.follower()
 	release := c.disks[behind].Stall()
 	defer release()
 	c.eventually("not acknowledged", func(node *runningNode) bool {
 		return node != c.nodes[behind] && node.Depart(ctx, "i1", 0) == nil
 	})
-	c.eventually("the state is not out of date", func(*runningNode) bool { return c.logs(behind, "state_stale") })
-	require.ErrorIs(t, c.nodes[behind].Heartbeat(ctx, startOf("i1", 6, registry.Ready, 1)), directory.ErrUnavailable, "a new start is taken in")
-	require.NoError(t, c.nodes[behind].Heartbeat(ctx, startOf("i1", 5, registry.Ready, 2)), "a start that is known")
-	c.eventually("the new start is taken in nowhere", func(node *runningNode) bool {
-		return node != c.nodes[behind] && node.Heartbeat(ctx, startOf("i1", 6, registry.Ready, 2)) == nil
+	c.eventually("the state is not out of date", func(*runningNode) bool { return c.hasLogged(behind, "state_stale") })
+	require.ErrorIs(t, c.nodes[behind].Heartbeat(ctx, heartbeatOf("i1", 6, registry.Ready, 1)), directory.ErrUnavailable, "a new start is accepted")
+	require.NoError(t, c.nodes[behind].Heartbeat(ctx, heartbeatOf("i1", 5, registry.Ready, 2)), "a known start")
+	c.eventually("no node accepts the new start", func(node *runningNode) bool {
+		return node != c.nodes[behind] && node.Heartbeat(ctx, heartbeatOf("i1", 6, registry.Ready, 2)) == nil
 	})
 	release()
-	c.everywhere("the new start is not served", func(node *runningNode) bool { return stateAt(node, "i1#6") == registry.Ready })
-	c.everywhere("the start that left is served", func(node *runningNode) bool { return stateAt(node, "i1#5") == registry.Leaving })
+	c.eventuallyEverywhere("the new start is not served", func(node *runningNode) bool { return stateAt(node, "i1#6") == registry.Ready })
+	c.eventuallyEverywhere("the departed start is served", func(node *runningNode) bool { return stateAt(node, "i1#5") == registry.Leaving })
 }
 
-// TestDepartureIsAcknowledgedBeforeTheGroupHasItsSize guards against acknowledging what the loss of
-// as many disks as are to be borne can take back.
-func TestDepartureIsAcknowledgedBeforeTheGroupHasItsSize(t *testing.T) {
+// TestDepartureIsNotAcknowledgedBeforeTheGroupHasItsSize guards against acknowledging a
+// departure that the loss of as many disks as must be tolerated can revert.
+func TestDepartureIsNotAcknowledgedBeforeTheGroupHasItsSize(t *testing.T) {
 	c := newCluster(t, 5)
 	for index := range c.seeds {
 		c.start(index, true)
@@ -265,13 +269,13 @@
 	c.eventually("the departure is not acknowledged", func(node *runningNode) bool { return node.Depart(ctx, "i1", 0) == nil })
 }
 
-// TestDepartureOfAServerThatNobodyKnowsIsAcknowledged guards against acknowledging a departure that
-// names no start where all tables of servers were lost: the server's next heartbeat would count
-// as one of a new start.
-func TestDepartureOfAServerThatNobodyKnowsIsAcknowledged(t *testing.T) {
-	c := wholeCluster(t)
+// TestDepartureHoldsAfterAllTablesWereLost guards against acknowledging a departure that names
+// no start after all tables of servers were lost: the server's next heartbeat would count as
+// that of a new start.
+func TestDepartureHoldsAfterAllTablesWereLost(t *testing.T) {
+	c := newFormedCluster(t)
 	ctx := context.Background()
-	require.NoError(t, c.nodes[0].Heartbeat(ctx, startOf("i1", 5, registry.Ready, 1)))
+	require.NoError(t, c.nodes[0].Heartbeat(ctx, heartbeatOf("i1", 5, registry.Ready, 1)))
 	for index := range c.nodes {
 		c.stop(index)
 		if err := os.Remove(filepath.Join(c.folders[index], "servers.json")); err != nil {
@@ -279,49 +283,50 @@
 		}
 	}
 	c.startAll(false)
-	c.everywhere("not fresh", freshWithin(time.Second))
+	c.eventuallyEverywhere("not fresh", freshWithin(time.Second))
 	acknowledged := c.nodes[1].Depart(ctx, "i1", 0) == nil
-	require.NoError(t, c.nodes[2].Heartbeat(ctx, startOf("i1", 5, registry.Ready, 2)))
+	require.NoError(t, c.nodes[2].Heartbeat(ctx, heartbeatOf("i1", 5, registry.Ready, 2)))
 	if !acknowledged {
 		c.eventually("not acknowledged once the server is known", func(node *runningNode) bool { return node.Depart(ctx, "i1", 0) == nil })
 	}
-	c.everywhere("the server goes on as ready", func(node *runningNode) bool { return stateAt(node, "i1#5") == registry.Leaving })
+	c.eventuallyEverywhere("the server is still ready", func(node *runningNode) bool { return stateAt(node, "i1#5") == registry.Leaving })
 }
 
-// TestDepartureBindsNoStartThatOneNodeTookForReplaced guards against a start, with a clock that was set
-// back, that one node alone knows of, and that gets requests by the others after its departure.
-func TestDepartureBindsNoStartThatOneNodeTookForReplaced(t *testing.T) {
-	c := wholeCluster(t)
+// TestDepartureAppliesToAStartMarkedReplaced guards against a start of a server whose clock was
+// set back that only one node knows, and that gets requests by way of the others after its
+// departure.
+func TestDepartureAppliesToAStartMarkedReplaced(t *testing.T) {
+	c := newFormedCluster(t)
 	ctx := context.Background()
-	c.insist(func() error { return c.nodes[0].Heartbeat(ctx, startOf("i1", 9, registry.Ready, 1)) })
-	c.insist(func() error { return c.nodes[0].Heartbeat(ctx, startOf("i1", 5, registry.Ready, 1)) })
-	c.everywhere("a node does not know of both starts", func(node *runningNode) bool {
-		reply, err := newsOf(node)
+	c.retryUntilAcknowledged(func() error { return c.nodes[0].Heartbeat(ctx, heartbeatOf("i1", 9, registry.Ready, 1)) })
+	c.retryUntilAcknowledged(func() error { return c.nodes[0].Heartbeat(ctx, heartbeatOf("i1", 5, registry.Ready, 1)) })
+	c.eventuallyEverywhere("a node does not know of both starts", func(node *runningNode) bool {
+		reply, err := followAsNewRouter(node)
 		return err == nil && lo.ContainsBy(reply.Instances, func(known registry.Instance) bool { return known.ID == "i1#5" && known.Replaced })
 	})
-	c.insist(func() error { return c.nodes[1].Depart(ctx, "i1", 0) })
-	c.insist(func() error { return c.nodes[2].Heartbeat(ctx, startOf("i1", 5, registry.Ready, 2)) })
-	c.everywhere("the start in use goes on as ready", func(node *runningNode) bool { return stateAt(node, "i1#5") == registry.Leaving })
+	c.retryUntilAcknowledged(func() error { return c.nodes[1].Depart(ctx, "i1", 0) })
+	c.retryUntilAcknowledged(func() error { return c.nodes[2].Heartbeat(ctx, heartbeatOf("i1", 5, registry.Ready, 2)) })
+	c.eventuallyEverywhere("the start in use is still ready", func(node *runningNode) bool { return stateAt(node, "i1#5") == registry.Leaving })
 }
 
-// TestLateHeartbeatOfAnUnknownStartBringsItIntoUse guards against requests to a server that has left, by an
-// earlier start that no table knows any more and of which a heartbeat comes late; and against a later start
-// that is not served because its first heartbeat was lost.
-func TestLateHeartbeatOfAnUnknownStartBringsItIntoUse(t *testing.T) {
-	c := wholeCluster(t)
+// TestLateHeartbeatOfAnUnknownStartIsNotServed guards against requests to a departed server
+// because of a late heartbeat of an earlier start that is no longer in any table, and against a
+// later start that gets no requests because its first heartbeat was lost.
+func TestLateHeartbeatOfAnUnknownStartIsNotServed(t *testing.T) {
+	c := newFormedCluster(t)
 	ctx := context.Background()
-	c.insist(func() error { return c.nodes[0].Heartbeat(ctx, startOf("i1", 5, registry.Ready, 1)) })
-	c.insist(func() error { return c.nodes[0].Depart(ctx, "i1", 0) })
-	c.insist(func() error { return c.nodes[0].Heartbeat(ctx, startOf("i1", 9, registry.Ready, 7)) })
-	reply, err := newsOf(c.nodes[0])
+	c.retryUntilAcknowledged(func() error { return c.nodes[0].Heartbeat(ctx, heartbeatOf("i1", 5, registry.Ready, 1)) })
+	c.retryUntilAcknowledged(func() error { return c.nodes[0].Depart(ctx, "i1", 0) })
+	c.retryUntilAcknowledged(func() error { return c.nodes[0].Heartbeat(ctx, heartbeatOf("i1", 9, registry.Ready, 7)) })
+	reply, err := followAsNewRouter(c.nodes[0])
 	require.NoError(t, err)
 	require.True(t, lo.ContainsBy(reply.Instances, func(known registry.Instance) bool { return known.ID == "i1#9" && known.Replaced }))
 	sequence := uint64(7)
-	c.eventually("a start that goes on is not served", func(*runningNode) bool {
+	c.eventually("a start that keeps sending heartbeats is not served", func(*runningNode) bool {
 		sequence++
-		c.insist(func() error { return c.nodes[0].Heartbeat(ctx, startOf("i1", 9, registry.Ready, sequence)) })
+		c.retryUntilAcknowledged(func() error { return c.nodes[0].Heartbeat(ctx, heartbeatOf("i1", 9, registry.Ready, sequence)) })
 		return stateAt(c.nodes[0], "i1#9") == registry.Ready
 	})
-	c.insist(func() error { return c.nodes[0].Heartbeat(ctx, startOf("i1", 11, registry.Ready, 1)) })
-	require.Equal(t, registry.Ready, stateAt(c.nodes[0], "i1#11"), "its first heartbeat was heard")
+	c.retryUntilAcknowledged(func() error { return c.nodes[0].Heartbeat(ctx, heartbeatOf("i1", 11, registry.Ready, 1)) })
+	require.Equal(t, registry.Ready, stateAt(c.nodes[0], "i1#11"), "its first heartbeat was received")
 }
--- a/internal/directory/document.go
+++ b/internal/directory/document.go
@@ -9,47 +9,47 @@
 	"github.com/cockroachdb/errors"
 )
 
-// PackedDocument is the text of a document as it travels to routers: compressed,
-// since large documents repeat themselves and each router gets each version.
+// PackedDocument is a gzip-compressed document as sent to routers. Large documents are
+// repetitive, and every router fetches every version.
 type PackedDocument []byte
 
-// maxDocumentBytes bounds the text of a document.
+// maxDocumentBytes bounds the uncompressed size of a document.
 const maxDocumentBytes = 64 << 20
 
-// PackDocument compresses a text.
+// PackDocument compresses a document.
 func PackDocument(text []byte) (PackedDocument, error) {
-	var packed bytes.Buffer
-	writer, err := gzip.NewWriterLevel(&packed, gzip.BestSpeed)
+	var compressed bytes.Buffer
+	writer, err := gzip.NewWriterLevel(&compressed, gzip.BestSpeed)
 	if err != nil {
-		return nil, errors.Wrap(err, "a document can't be compressed")
+		return nil, errors.Wrap(err, "cannot compress the document")
 	}
 	if _, err := writer.Write(text); err != nil {
-		return nil, errors.Wrap(err, "a document can't be compressed")
+		return nil, errors.Wrap(err, "cannot compress the document")
 	}
 	if err := writer.Close(); err != nil {
-		return nil, errors.Wrap(err, "a document can't be compressed")
+		return nil, errors.Wrap(err, "cannot compress the document")
 	}
-	return packed.Bytes(), nil
+	return compressed.Bytes(), nil
 }
 
-// Text returns what was packed.
+// Text returns the uncompressed document.
 func (p PackedDocument) Text() ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(p))
 	if err != nil {
-		return nil, errors.Wrap(err, "a packed document can't be read")
+		return nil, errors.Wrap(err, "cannot decompress the document")
 	}
 	text, err := io.ReadAll(io.LimitReader(reader, maxDocumentBytes+1))
 	switch {
 	case err != nil:
-		return nil, errors.Wrap(err, "a packed document can't be read")
+		return nil, errors.Wrap(err, "cannot decompress the document")
 	case len(text) > maxDocumentBytes:
-		return nil, errors.Newf("a packed document holds more than %d bytes", maxDocumentBytes)
+		return nil, errors.Newf("decompressed document exceeds %d bytes", maxDocumentBytes)
 	}
 	return text, nil
 }
 
-// documentPacker packs the document of the last version that was asked for once,
-// for all routers. It is safe for concurrent use.
+// documentPacker caches the compressed form of the last requested version, so that it is
+// compressed once for all routers. It is safe for concurrent use.
 type documentPacker struct {
 	mutex   sync.Mutex
 	version uint64
--- a/internal/directory/document_test.go
+++ b/internal/directory/document_test.go
@@ -23,8 +23,8 @@
 	})
 }
 
-// TestLargeDocumentsTravelSmall has a document of many routes over the same shards.
-func TestLargeDocumentsTravelSmall(t *testing.T) {
+// TestLargeDocumentsAreCompressed packs a document with many routes over the same shards.
+func TestLargeDocumentsAreCompressed(t *testing.T) {
 	route := bytes.Repeat([]byte(`"shard-17","shard-18","shard-19",`), 50)
 	text := bytes.Repeat(route, 350)
 	packer := &documentPacker{}
--- a/internal/directory/evacuations.go
+++ b/internal/directory/evacuations.go
@@ -13,48 +13,48 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// Evacuation is a zone whose servers get no requests, by an operator's order.
+// Evacuation is a zone whose servers get no requests, by order of an operator.
 type Evacuation struct {
 	Zone string `json:"zone"`
-	// By is the address that the order came from, At when it came, by the clock of the
-	// node that took it.
+	// By is the address that sent the order, At the time of receipt by the clock of the
+	// receiving node.
 	By string    `json:"by"`
 	At time.Time `json:"at"`
 }
 
-// evacuationOrder is an operator's order: to evacuate a zone, or to take that back.
+// evacuationOrder is an operator's order to evacuate a zone or to end its evacuation.
 type evacuationOrder struct {
 	Evacuation
 	Ended bool `json:"ended,omitempty"`
 }
 
-// maxZoneName bounds the names of zones that are taken, bytes.
+// maxZoneName bounds the length of a zone name in bytes.
 const maxZoneName = 200
 
-// Evacuate takes the order that the servers of a zone get no requests, or with ended
-// that they get them again, from a caller's address. Nil means that a quorum has synced
-// it; sent again, it changes nothing. Other outcomes are *routing.InvalidError (nothing
-// was changed) and ErrUnavailable (it may be in force, now or later).
+// Evacuate orders that the servers of a zone get no requests, or, if ended is set, that they
+// get them again; by is the caller's address. Nil means that a quorum has synced the order;
+// repeating it has no effect. Other outcomes are *routing.InvalidError (nothing was changed)
+// and ErrUnavailable (the order may be in effect, now or later).
 func (n *Node) Evacuate(ctx context.Context, zone string, ended bool, by string) error {
-	began := steadyclock.Now()
+	start := steadyclock.Now()
 	var err error
 	if zone == "" || len(zone) > maxZoneName {
-		err = &routing.InvalidError{Detail: "the name of a zone has between 1 and 200 bytes"}
+		err = &routing.InvalidError{Detail: "a zone name must have 1 to 200 bytes"}
 	} else {
-		order := evacuationOrder{Evacuation: Evacuation{Zone: zone, By: by, At: time.Now().UTC()}, Ended: ended} // The wall clock: a person reads it.
-		err = n.atLeader(ctx, func(ctx context.Context) error { return n.evacuateHere(ctx, order) }, pathEvacuate, order, nil)
+		order := evacuationOrder{Evacuation: Evacuation{Zone: zone, By: by, At: time.Now().UTC()}, Ended: ended} // Wall clock, since operators read it.
+		err = n.onLeader(ctx, func(ctx context.Context) error { return n.evacuateAsLeader(ctx, order) }, pathEvacuate, order, nil)
 	}
 	operation := "evacuation_started"
 	if ended {
 		operation = "evacuation_ended"
 	}
-	n.record(operation, began, err, logrus.Fields{"zone": zone, "by": by})
+	n.recordOperation(operation, start, err, logrus.Fields{"zone": zone, "by": by})
 	return err
 }
 
-// evacuateHere is Evacuate at the leader. Also an order that changes nothing here goes
-// through the log: only that proves that what is held here is committed.
-func (n *Node) evacuateHere(ctx context.Context, order evacuationOrder) error {
+// evacuateAsLeader is Evacuate at the leader. An order that changes nothing here still goes
+// through the log, because only that proves that the local state is committed.
+func (n *Node) evacuateAsLeader(ctx context.Context, order evacuationOrder) error {
 	if !n.mayAcknowledge() {
 		return errNotFormed
 	}
@@ -62,64 +62,63 @@
 	return err
 }
 
-// evacuate carries out an order. The caller holds the mutex.
-func (m *machine) evacuate(order evacuationOrder) {
-	at, evacuated := slices.BinarySearchFunc(m.state.Evacuated, order.Zone, func(held Evacuation, zone string) int {
-		return cmp.Compare(held.Zone, zone)
+// applyEvacuation applies an order. The caller holds the mutex.
+func (m *stateMachine) applyEvacuation(order evacuationOrder) {
+	index, found := slices.BinarySearchFunc(m.state.Evacuated, order.Zone, func(existing Evacuation, zone string) int {
+		return cmp.Compare(existing.Zone, zone)
 	})
-	if evacuated != order.Ended {
+	if found != order.Ended {
 		return
 	}
-	// Readers may hold the former list.
-	held := slices.Clone(m.state.Evacuated)
+	// Copy on write: readers may hold the former slice.
+	zones := slices.Clone(m.state.Evacuated)
 	if order.Ended {
-		held = slices.Delete(held, at, at+1)
+		zones = slices.Delete(zones, index, index+1)
 	} else {
-		held = slices.Insert(held, at, order.Evacuation)
+		zones = slices.Insert(zones, index, order.Evacuation)
 	}
-	m.state.Evacuated = held
+	m.state.Evacuated = zones
 	m.state.EvacuationRevision++
 }
 
-// evacuations returns the zones that are evacuated, and the revision of that list.
-func (m *machine) evacuations() ([]Evacuation, uint64) {
+// evacuations returns the evacuated zones and the revision of that list.
+func (m *stateMachine) evacuations() ([]Evacuation, uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.state.Evacuated, m.state.EvacuationRevision
 }
 
-// EvacuationList is the evacuated zones as a node knows them.
+// EvacuationList is the list of evacuated zones known to a node.
 type EvacuationList struct {
 	Revision  uint64       `json:"revision"`
 	Evacuated []Evacuation `json:"evacuated"`
 }
 
-// Evacuations returns the zones that are evacuated as this node knows them.
+// Evacuations returns the evacuated zones known to this node.
 func (n *Node) Evacuations() EvacuationList {
-	held, revision := n.member.state().evacuations()
-	return EvacuationList{Revision: revision, Evacuated: held}
+	evacuated, revision := n.member.state().evacuations()
+	return EvacuationList{Revision: revision, Evacuated: evacuated}
 }
 
-// ListEvacuations asks the node at a peer address for the zones that are evacuated as it
-// knows them.
+// ListEvacuations queries the node at a peer address for the evacuated zones that it knows.
 func ListEvacuations(ctx context.Context, address string) (EvacuationList, error) {
 	var list EvacuationList
 	err := newPeerClient().call(ctx, address, pathEvacuations, struct{}{}, &list)
 	return list, err
 }
 
-// tellEvacuations logs and counts the zones that are evacuated, if their revision is
-// another than the one last told, and returns it.
-func (n *Node) tellEvacuations(applied *machine, told uint64) uint64 {
-	held, revision := applied.evacuations()
-	if revision == told {
-		return told
+// reportEvacuations logs and counts the evacuated zones if their revision differs from the last
+// reported one, and returns the current revision.
+func (n *Node) reportEvacuations(state *stateMachine, reported uint64) uint64 {
+	evacuated, revision := state.evacuations()
+	if revision == reported {
+		return reported
 	}
-	n.metrics.evacuated.Set(float64(len(held)))
-	n.logger.WithFields(logrus.Fields{"revision": revision, "before": told, "zones": zoneNames(held)}).Info("evacuations_changed")
+	n.metrics.evacuated.Set(float64(len(evacuated)))
+	n.logger.WithFields(logrus.Fields{"revision": revision, "before": reported, "zones": zoneNames(evacuated)}).Info("evacuations_changed")
 	return revision
 }
 
-func zoneNames(held []Evacuation) []string {
-	return lo.Map(held, func(of Evacuation, _ int) string { return of.Zone })
+func zoneNames(evacuations []Evacuation) []string {
+	return lo.Map(evacuations, func(evacuation Evacuation, _ int) string { return evacuation.Zone })
 }
--- a/internal/directory/export_test.go
+++ b/internal/directory/export_test.go
@@ -6,26 +6,26 @@
 	"github.com/martenstage/martenstage/internal/consensus"
 )
 
-// Follows reports whether the node follows a leader that it hears.
+// FollowsLeader reports whether the node follows a known leader.
 func (n *Node) Follows() bool {
 	status := n.status()
 	return status.Leader != 0 && status.Role == consensus.Follower
 }
 
-// Machine is the state that the log drives.
-type Machine = machine
+// Machine is the state driven by the log.
+type Machine = stateMachine
 
 // NewMachine returns an empty one.
-func NewMachine() *Machine { return newMachine() }
+func NewMachine() *Machine { return newStateMachine() }
 
-// MaxDepartures bounds the remembered departures.
+// MaxDepartures bounds the recorded departures.
 const MaxDepartures = maxDepartures
 
-// DeparturesFrom returns the departures behind a position, and the next position.
-func (m *machine) DeparturesFrom(position int) ([]string, int) { return m.departures(position) }
+// DeparturesFrom returns the departures after a position, and the next position.
+func (m *stateMachine) DeparturesFrom(position int) ([]string, int) { return m.departures(position) }
 
-// DepartEntry is a log entry by which servers depart.
+// DepartEntry returns a log entry that records departures.
 func DepartEntry(ids ...string) []byte {
-	data, _ := json.Marshal(command{Departures: ids}) // It holds only texts.
+	data, _ := json.Marshal(command{Departures: ids}) // Marshaling strings can't fail.
 	return data
 }
--- a/internal/directory/following.go
+++ b/internal/directory/following.go
@@ -11,18 +11,18 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// maxFollowWait bounds how long a router's call is held. It is also how long a
-// router that hears nothing keeps a node that has become silent.
+// maxFollowWait bounds how long a router's call is held. It is also how long a router keeps
+// following a node that has stopped answering.
 const maxFollowWait = time.Second
 
-// Follow answers a router as soon as there is something that it does not know, or this node's
-// state becomes out of date, or after the time that the router is ready to wait. A node that
-// hears no leader fails with ErrUnavailable, so that the router follows another one.
+// Follow replies to a router as soon as there is an update that it lacks or this node's state
+// becomes stale, or else after the requested wait. If the node has no leader it fails with
+// ErrUnavailable, so that the router follows another node.
 func (n *Node) Follow(ctx context.Context, request FollowRequest) (FollowReply, error) {
 	if !n.servesSeeds(request.Seeds) {
 		return FollowReply{}, errOtherSeeds
 	}
-	arrived, staleBefore := steadyclock.Now(), n.stale.Load()
+	receivedAt, staleBefore := steadyclock.Now(), n.stale.Load()
 	deadline := time.NewTimer(min(request.Wait, maxFollowWait))
 	defer deadline.Stop()
 	for {
@@ -30,19 +30,19 @@
 			return FollowReply{}, errors.Wrap(ErrUnavailable, "no leader is heard")
 		}
 		if request.Probe {
-			return n.freshProbe(arrived), nil
+			return n.probeReply(receivedAt), nil
 		}
-		applied := n.member.state()
-		fresh := n.freshSince(applied, arrived)
-		reply, news, changed, err := n.news(applied, request)
+		state := n.member.state()
+		fresh := n.freshnessAt(state, receivedAt)
+		reply, hasUpdates, changed, err := n.updatesFor(state, request)
 		reply.Fresh = &fresh
-		if news || err != nil || n.stale.Load() && !staleBefore {
+		if hasUpdates || err != nil || n.stale.Load() && !staleBefore {
 			return reply, err
 		}
 		select {
 		case <-changed:
 		case <-deadline.C:
-			n.refresh(applied, request, arrived, &reply)
+			n.setFreshness(state, request, receivedAt, &reply)
 			return reply, nil
 		case <-ctx.Done():
 			return FollowReply{}, ctx.Err()
@@ -50,73 +50,72 @@
 	}
 }
 
-// refresh tells a router that waited in vain how fresh its document is now, if there is no
-// newer one.
-func (n *Node) refresh(applied *machine, request FollowRequest, arrived time.Time, reply *FollowReply) {
-	fresh := n.freshSince(applied, arrived)
-	if version, _, _ := applied.document(); version <= request.Version {
+// setFreshness updates the reported freshness after a wait without updates, unless the document
+// has changed since.
+func (n *Node) setFreshness(state *stateMachine, request FollowRequest, receivedAt time.Time, reply *FollowReply) {
+	fresh := n.freshnessAt(state, receivedAt)
+	if version, _, _ := state.document(); version <= request.Version {
 		reply.Fresh = &fresh
 	}
 }
 
-// news returns what a router does not know, whether that is anything, and a
-// channel that is closed when there is more.
-func (n *Node) news(applied *machine, request FollowRequest) (reply FollowReply, news bool, changed <-chan struct{}, err error) {
-	version, document, err := n.newerDocument(applied, request.Version)
+// updatesFor returns the updates that a router lacks, whether there are any, and a channel that
+// is closed on the next change.
+func (n *Node) updatesFor(state *stateMachine, request FollowRequest) (reply FollowReply, hasUpdates bool, changed <-chan struct{}, err error) {
+	version, document, err := n.newerDocument(state, request.Version)
 	if err != nil {
 		return FollowReply{}, false, nil, err
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	now := steadyclock.Now()
-	if n.routers.report(now, sharedRouter{Router: request.Router, Calls: request.Calls}, true) {
-		n.routersChanged()
+	if n.routers.recordCall(now, sharedRouter{Router: request.Router, Calls: request.Calls}, true) {
+		n.markRoutersChanged()
 	}
 	routers := n.summary.current(now, n.routers)
 	reply = FollowReply{
 		Source: n.source, Group: n.group(), Revision: n.registry.Revision(), Settled: n.settled, Version: version, Document: document,
-		RouterCount: routers.count, Calls: n.demand.follow(now, routers.calls),
+		RouterCount: routers.count, Calls: n.demand.update(now, routers.calls),
 		Nodes: lo.Map(n.status().Members, func(m consensus.MemberStatus, _ int) string { return m.Address }),
 	}
 	reply.RoutersDigest, reply.AbsentDigest = routers.routersDigest, routers.absentDigest
-	otherRouters, otherAbsent := routers.routersDigest != request.Routers, routers.absentDigest != request.Absent
-	if otherRouters {
+	routersDiffer, absentDiffer := routers.routersDigest != request.Routers, routers.absentDigest != request.Absent
+	if routersDiffer {
 		reply.Routers = routers.routers
 	}
-	if otherAbsent {
+	if absentDiffer {
 		reply.Absent = routers.absent
 	}
-	evacuated, revision := applied.evacuations()
-	otherEvacuated := revision > request.Evacuations
-	if reply.Evacuations = revision; otherEvacuated {
+	evacuated, revision := state.evacuations()
+	evacuationsDiffer := revision > request.Evacuations
+	if reply.Evacuations = revision; evacuationsDiffer {
 		reply.Evacuated = zoneNames(evacuated)
 	}
-	reply.Quarantine, reply.QuarantineEntries = applied.quarantineNews(request.Quarantine)
-	otherQuarantine := reply.Quarantine > request.Quarantine
+	reply.Quarantine, reply.QuarantineEntries = state.quarantineUpdate(request.Quarantine)
+	quarantineDiffers := reply.Quarantine > request.Quarantine
 	reply.MeteredDigest = n.meteredDigest
-	otherMetered := n.meteredDigest != request.Metered
-	if otherMetered {
+	meteredDiffers := n.meteredDigest != request.Metered
+	if meteredDiffers {
 		reply.Metered = n.metered.Tenants
 	}
-	reply.Rollouts, reply.RolloutRevision = n.rolloutNews(applied, request.Rollouts)
-	otherRollouts := reply.RolloutRevision > request.Rollouts
-	same := request.Source == n.source
+	reply.Rollouts, reply.RolloutRevision = n.rolloutUpdate(state, request.Rollouts)
+	rolloutsDiffer := reply.RolloutRevision > request.Rollouts
+	sameSource := request.Source == n.source
 	since := request.Revision
-	if !same {
+	if !sameSource {
 		since, request.Departures, request.DepartedNames = 0, 0, 0
 	}
-	reply.Whole = !same
+	reply.Whole = !sameSource
 	reply.Instances = n.registry.Since(now, since)
-	reply.Departed, reply.Departures = applied.departures(request.Departures)
-	reply.DepartedNames = applied.departedNames(request.DepartedNames)
-	news = !same || len(reply.Instances) > 0 || len(reply.Departed) > 0 || len(reply.DepartedNames) > 0 || reply.Version > 0 || otherRouters || otherAbsent || otherEvacuated || otherQuarantine || otherMetered || otherRollouts
-	return reply, news, n.changed, nil
+	reply.Departed, reply.Departures = state.departures(request.Departures)
+	reply.DepartedNames = state.departedNames(request.DepartedNames)
+	hasUpdates = !sameSource || len(reply.Instances) > 0 || len(reply.Departed) > 0 || len(reply.DepartedNames) > 0 || reply.Version > 0 || routersDiffer || absentDiffer || evacuationsDiffer || quarantineDiffers || meteredDiffers || rolloutsDiffer
+	return reply, hasUpdates, n.changed, nil
 }
 
-// newerDocument returns the document if its version is above one, else 0 and
-// nothing.
-func (n *Node) newerDocument(applied *machine, above uint64) (uint64, PackedDocument, error) {
-	version, text, _ := applied.document()
+// newerDocument returns the document if its version is greater than above, otherwise 0 and nil.
+func (n *Node) newerDocument(state *stateMachine, above uint64) (uint64, PackedDocument, error) {
+	version, text, _ := state.document()
 	if version <= above {
 		return 0, nil, nil
 	}
--- a/internal/directory/formation.go
+++ b/internal/directory/formation.go
@@ -10,54 +10,52 @@
 	"github.com/martenstage/martenstage/internal/voter"
 )
 
-// candidate is a node that asked to become a voter.
+// candidate is a node that requested membership.
 type candidate struct {
-	ID      uint64
-	Address string
-	Asked   time.Time
+	ID          uint64
+	Address     string
+	RequestedAt time.Time
 }
 
-// formationRules are the bounds of the decisions on membership.
+// formationRules are the limits for membership decisions.
 type formationRules struct {
-	// Size is how many voters the group has: two for each loss to be borne at
-	// once, and one.
+	// Size is the number of voters of the group: 2n+1 to tolerate n losses.
 	Size int
-	// ReplaceAfter is how long a voter must be silent before a waiting node takes
-	// its place.
+	// ReplaceAfter is how long a voter must be silent before a learner replaces it.
 	ReplaceAfter time.Duration
-	// LearnerPatience is how long a learner must be silent before it is removed.
-	LearnerPatience time.Duration
-	// CandidateLifetime is how long after its last call a candidate counts.
+	// LearnerTimeout is how long a learner must be silent before it is removed.
+	LearnerTimeout time.Duration
+	// CandidateLifetime is how long a candidate remains valid after its last request.
 	CandidateLifetime time.Duration
 }
 
-// maxLearners bounds the members without a vote, far above the nodes of any group.
+// maxLearners bounds the members without a vote, far above the size of any group.
 const maxLearners = 32
 
-// memberView is a member as the leader sees it.
+// memberView is a member as seen by the leader.
 type memberView struct {
 	consensus.MemberStatus
-	// Silent is for how long it has not answered.
-	Silent time.Duration
-	// ReachedAt is the address at which it is reached now; empty if that is not known.
+	// SilentFor is the time since its last response.
+	SilentFor time.Duration
+	// ReachedAt is the address at which it is currently reached; empty if unknown.
 	ReachedAt string
-	// Retiring says that it is being stopped for good.
+	// Retiring reports that it is being stopped permanently.
 	Retiring bool
 }
 
 // decideChange returns the next membership change that the leader should make,
-// if any. One is made at a time; each is safe by itself, so a leader that dies
-// between two of them leaves the rest to the next one.
+// if any. Changes are made one at a time, and each is safe by itself, so a leader that
+// fails between two of them leaves the rest to the next leader.
 //
-//  1. A member that is reached at another address than the one it was added with has moved.
+//  1. A member that is reached at an address other than its recorded one has moved.
 //  2. A voter whose address now belongs to a node with another id has lost its
-//     disk for certain. It is removed first: it can never count again, so that
-//     removing it only lowers the quorum that the others have to reach.
-//  3. A node that asks becomes a learner: it follows the log and serves like the others, and
-//     costs no vote. One that has been silent for long is removed.
-//  4. A group below its size, or with a voter that is silent, promotes a learner that is there.
-//     A silent voter is removed once there is one too many; the group never shrinks because of
-//     silence.
+//     disk. It is removed first: it can never vote again, so its removal
+//     only lowers the quorum that the others have to reach.
+//  3. A node that requests membership becomes a learner: it follows the log and serves like the
+//     others, without a vote. A learner that has been silent for LearnerTimeout is removed.
+//  4. A group below its size, or with a silent voter, promotes a learner that responds.
+//     A silent voter is removed once there is one voter too many; the group never shrinks
+//     because of silence.
 func decideChange(members []memberView, candidates []candidate, rules formationRules) (consensus.Change, bool) {
 	if moved, found := findMoved(members); found {
 		return consensus.Change{Kind: consensus.MoveMember, ID: moved.ID, Address: moved.ReachedAt}, true
@@ -66,22 +64,22 @@
 		return consensus.Change{Kind: consensus.RemoveMember, ID: wiped}, true
 	}
 	learners := lo.Filter(members, func(m memberView, _ int) bool { return m.Learner })
-	if silent, found := lo.Find(learners, func(m memberView) bool { return m.Silent > rules.LearnerPatience }); found {
+	if silent, found := lo.Find(learners, func(m memberView) bool { return m.SilentFor > rules.LearnerTimeout }); found {
 		return consensus.Change{Kind: consensus.RemoveMember, ID: silent.ID}, true
 	}
 	voters := len(members) - len(learners)
-	gone, anyGone := findGone(members, rules)
-	if voters > rules.Size && anyGone {
-		return consensus.Change{Kind: consensus.RemoveMember, ID: gone.ID}, true
+	failed, anyFailed := findFailedVoter(members, rules)
+	if voters > rules.Size && anyFailed {
+		return consensus.Change{Kind: consensus.RemoveMember, ID: failed.ID}, true
 	}
-	if voters < rules.Size || voters == rules.Size && anyGone {
-		if ready, found := lo.Find(learners, func(m memberView) bool { return m.Silent <= rules.ReplaceAfter }); found {
+	if voters < rules.Size || voters == rules.Size && anyFailed {
+		if ready, found := lo.Find(learners, func(m memberView) bool { return m.SilentFor <= rules.ReplaceAfter }); found {
 			return consensus.Change{Kind: consensus.PromoteLearner, ID: ready.ID}, true
 		}
 	}
-	newcomer, waiting := lo.Find(candidates, func(c candidate) bool { return !isMember(members, c.ID) })
+	joining, waiting := lo.Find(candidates, func(c candidate) bool { return !isMember(members, c.ID) })
 	if waiting && len(learners) < maxLearners {
-		return consensus.Change{Kind: consensus.AddLearner, ID: newcomer.ID, Address: newcomer.Address}, true
+		return consensus.Change{Kind: consensus.AddLearner, ID: joining.ID, Address: joining.Address}, true
 	}
 	return consensus.Change{}, false
 }
@@ -91,12 +89,12 @@
 }
 
 func findWiped(members []memberView, candidates []candidate) (uint64, bool) {
-	for _, asking := range candidates {
-		if isMember(members, asking.ID) {
-			continue // It has moved; so may have the one that was there before.
+	for _, requester := range candidates {
+		if isMember(members, requester.ID) {
+			continue // It has moved; the member that had this address may have moved, too.
 		}
 		for _, member := range members {
-			if member.Address == asking.Address && member.ID != asking.ID {
+			if member.Address == requester.Address && member.ID != requester.ID {
 				return member.ID, true
 			}
 		}
@@ -104,16 +102,16 @@
 	return 0, false
 }
 
-// findGone returns the voter that has been silent for longest, if that is long
-// enough, or one that retires.
-func findGone(members []memberView, rules formationRules) (memberView, bool) {
-	gone := lo.Filter(members, func(m memberView, _ int) bool {
-		return !m.Learner && (m.Silent > rules.ReplaceAfter || m.Retiring)
+// findFailedVoter returns, of the voters that have been silent for longer than ReplaceAfter or
+// are retiring, the one silent for longest.
+func findFailedVoter(members []memberView, rules formationRules) (memberView, bool) {
+	failed := lo.Filter(members, func(m memberView, _ int) bool {
+		return !m.Learner && (m.SilentFor > rules.ReplaceAfter || m.Retiring)
 	})
-	if len(gone) == 0 {
+	if len(failed) == 0 {
 		return memberView{}, false
 	}
-	return lo.MaxBy(gone, func(a, b memberView) bool { return a.Silent > b.Silent }), true
+	return lo.MaxBy(failed, func(a, b memberView) bool { return a.SilentFor > b.SilentFor }), true
 }
 
 func isMember(members []memberView, id uint64) bool {
--- a/internal/directory/freshness.go
+++ b/internal/directory/freshness.go
@@ -10,39 +10,40 @@
 	"github.com/martenstage/martenstage/internal/wait"
 )
 
-// Times of keeping a node's state fresh.
+// Intervals and limits for confirming the freshness of a node's state.
 const (
-	// freshnessInterval is how often a node has a quorum confirm what it holds, and
+	// freshnessInterval is how often a node has a quorum confirm its state, and
 	// freshnessTimeout bounds one such round.
 	freshnessInterval = 200 * time.Millisecond
 	freshnessTimeout  = 400 * time.Millisecond
-	// leaderFreshness is how lately a quorum has to have confirmed a leader for it to spend
-	// what only one node may: another one may lead by now.
-	leaderFreshness = time.Second
-	// StaleAfter is from which age on a node's state counts as out of date: routers leave the
-	// node for one whose state is newer.
+	// maxLeaderConfirmationAge is the age up to which a quorum's confirmation of the leader
+	// suffices to grant quota tokens, which only one node may do: after it, another node may
+	// lead.
+	maxLeaderConfirmationAge = time.Second
+	// StaleAfter is the age from which a node's state counts as stale: routers then switch to a
+	// node with newer state.
 	StaleAfter = 800 * time.Millisecond
-	// notFresh is told of a state that no quorum has confirmed yet.
-	notFresh = -24 * time.Hour
+	// neverConfirmed is reported for a state that no quorum has confirmed yet.
+	neverConfirmed = -24 * time.Hour
 )
 
-// freshness says that a machine held, at a time, all that had been acknowledged before it:
-// documents, departures and every other entry of the log.
+// freshness records that a state machine held, at asOf, every log entry acknowledged before
+// that time, such as documents and departures.
 type freshness struct {
-	of *machine
-	at time.Time
+	machine *stateMachine
+	asOf    time.Time
 }
 
-// confirmReply carries from the leader up to which index a quorum has confirmed the log.
+// confirmReply carries the log index that a quorum has confirmed, from the leader.
 type confirmReply struct {
 	Index uint64 `json:"index"`
-	// Version is that of the document, for nodes of the version before.
+	// Version is the document version, for nodes of the previous release.
 	Version uint64 `json:"version"`
 }
 
-// runFreshness has a quorum confirm, again and again, that what this node holds is not out
-// of date. It is what routers that were cut off are told by: they refuse in time what a
-// newer document may forbid.
+// runFreshness periodically has a quorum confirm that this node's state is current. Routers
+// that are partitioned rely on the reported age: they refuse in time what a newer document may
+// forbid.
 func (n *Node) runFreshness(ctx context.Context) {
 	interval := time.NewTicker(freshnessInterval)
 	defer interval.Stop()
@@ -53,29 +54,29 @@
 		case <-interval.C:
 		case <-n.confirmNow:
 		}
-		confirming, cancel := context.WithTimeout(ctx, freshnessTimeout)
-		n.renewFreshness(confirming)
+		confirmCtx, cancel := context.WithTimeout(ctx, freshnessTimeout)
+		n.confirmFreshness(confirmCtx)
 		cancel()
 	}
 }
 
-// freshProbe answers a router that asks whether to follow this node. A state that is out of
-// date is confirmed at once: the node may only have had no leader until now.
-func (n *Node) freshProbe(arrived time.Time) FollowReply {
-	fresh := n.freshSince(n.member.state(), arrived)
-	if fresh < -StaleAfter {
+// probeReply answers a router that asks whether to follow this node. A stale state is confirmed
+// at once: the node may only have lacked a leader until now.
+func (n *Node) probeReply(receivedAt time.Time) FollowReply {
+	age := n.freshnessAt(n.member.state(), receivedAt)
+	if age < -StaleAfter {
 		wait.Notify(n.confirmNow)
 	}
-	return FollowReply{Source: n.source, Group: n.group(), Fresh: &fresh}
+	return FollowReply{Source: n.source, Group: n.group(), Fresh: &age}
 }
 
-func (n *Node) renewFreshness(ctx context.Context) {
-	// The machine before the voter: of a voter that is opened in between, the machine is
-	// another one, of which nothing is claimed here.
-	began, applied, member := steadyclock.Now(), n.member.state(), n.member.voter()
+func (n *Node) confirmFreshness(ctx context.Context) {
+	// Load the state machine before the voter: if the voter is reopened in between, its state
+	// machine is a different one, for which nothing is claimed here.
+	start, state, member := steadyclock.Now(), n.member.state(), n.member.voter()
 	var reply confirmReply
-	err := n.atLeader(ctx, func(ctx context.Context) error {
-		confirmed, err := n.confirmHere(ctx)
+	err := n.onLeader(ctx, func(ctx context.Context) error {
+		confirmed, err := n.confirmAsLeader(ctx)
 		reply = confirmed
 		return err
 	}, pathConfirm, struct{}{}, &reply)
@@ -89,39 +90,39 @@
 		n.logger.WithField("reason", err).Debug("freshness_not_confirmed")
 		return
 	}
-	n.confirmed.Store(&freshness{of: applied, at: began})
+	n.lastConfirmed.Store(&freshness{machine: state, asOf: start})
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	close(n.renewed)
-	n.renewed = make(chan struct{})
+	close(n.freshnessRenewed)
+	n.freshnessRenewed = make(chan struct{})
 }
 
-// awaitFresh waits until the state holds all that was acknowledged before a time, within
-// freshnessTimeout, and reports whether it does.
-func (n *Node) awaitFresh(ctx context.Context, from time.Time) bool {
-	waiting, cancel := context.WithTimeout(ctx, freshnessTimeout)
+// awaitFresh waits, up to freshnessTimeout, until the state holds everything acknowledged
+// before a time, and reports whether it does.
+func (n *Node) awaitFresh(ctx context.Context, since time.Time) bool {
+	waitCtx, cancel := context.WithTimeout(ctx, freshnessTimeout)
 	defer cancel()
 	for {
 		n.mutex.Lock()
-		renewed := n.renewed
+		renewed := n.freshnessRenewed
 		n.mutex.Unlock()
-		if n.freshSince(n.member.state(), from) >= 0 {
+		if n.freshnessAt(n.member.state(), since) >= 0 {
 			return true
 		}
 		wait.Notify(n.confirmNow)
 		select {
 		case <-renewed:
-		case <-waiting.Done():
+		case <-waitCtx.Done():
 			return false
 		}
 	}
 }
 
-// errNoIndex is of a leader of the version before, which confirms documents alone.
-var errNoIndex = errors.New("the leader does not tell the index")
+// errNoIndex reports a leader of the previous release, which confirms only documents.
+var errNoIndex = errors.New("the leader does not report a log index")
 
-// confirmHere returns, at the leader, what is committed for certain.
-func (n *Node) confirmHere(ctx context.Context) (confirmReply, error) {
+// confirmAsLeader returns the committed index and document version, at the leader.
+func (n *Node) confirmAsLeader(ctx context.Context) (confirmReply, error) {
 	index, err := n.confirmIndex(ctx)
 	if err != nil {
 		return confirmReply{}, err
@@ -130,12 +131,12 @@
 	return confirmReply{Index: index, Version: version}, nil
 }
 
-// freshSince returns, from a time on, when a machine held all that had been acknowledged;
-// it is before that time unless it was confirmed later.
-func (n *Node) freshSince(applied *machine, from time.Time) time.Duration {
-	held := n.confirmed.Load()
-	if held == nil || held.of != applied {
-		return notFresh
+// freshnessAt returns, relative to a reference time, the last time at which a state machine is
+// known to have held everything acknowledged; it is negative if that is before the reference.
+func (n *Node) freshnessAt(state *stateMachine, reference time.Time) time.Duration {
+	confirmed := n.lastConfirmed.Load()
+	if confirmed == nil || confirmed.machine != state {
+		return neverConfirmed
 	}
-	return held.at.Sub(from)
+	return confirmed.asOf.Sub(reference)
 }
--- a/internal/directory/group_test.go
+++ b/internal/directory/group_test.go
@@ -16,16 +16,16 @@
 	"github.com/martenstage/martenstage/internal/registry"
 )
 
-// groupAt returns the group that a node tells routers.
+// groupAt returns the group that a node reports to routers.
 func groupAt(node *runningNode) addressee.Group {
-	reply, err := newsOf(node)
+	reply, err := followAsNewRouter(node)
 	if err != nil {
 		return 0
 	}
 	return reply.Group
 }
 
-// callAs sends a node a message as a process of a group does, and returns the status.
+// callAs sends a message to a node on behalf of a process of a group, and returns the status.
 func callAs(t *testing.T, group addressee.Group, address, path string, message any) int {
 	t.Helper()
 	body, err := json.Marshal(message)
@@ -39,47 +39,49 @@
 	return response.StatusCode
 }
 
-// TestNodeRefusesCallsOfAnotherGroup guards against a node that takes in servers, routers and
-// documents of another group, which has called an address that was its own.
+// TestNodeRefusesCallsOfAnotherGroup guards against a node that accepts servers, routers and
+// documents from a process of another group that calls its address, which formerly belonged to
+// that group.
 func TestNodeRefusesCallsOfAnotherGroup(t *testing.T) {
-	c := wholeCluster(t)
+	c := newFormedCluster(t)
 	own := addressee.GroupOf(c.seeds)
-	c.everywhere("another group", func(node *runningNode) bool { return groupAt(node) == own })
+	c.eventuallyEverywhere("the group differs", func(node *runningNode) bool { return groupAt(node) == own })
 	share := map[string]any{"instances": []registry.Instance{instance("i9", "s", registry.Ready, 1)}}
-	news := directory.FollowRequest{Router: directory.Router{Name: "stranger", Address: "10.0.0.9:1"}}
-	for path, message := range map[string]any{"/peer/share": share, directory.PathFollow: news, "/peer/put": map[string]any{"version": 9, "text": []byte("9 foreign")}} {
+	follow := directory.FollowRequest{Router: directory.Router{Name: "foreign", Address: "10.0.0.9:1"}}
+	for path, message := range map[string]any{"/peer/share": share, directory.PathFollow: follow, "/peer/put": map[string]any{"version": 9, "text": []byte("9 foreign")}} {
 		require.Equal(t, http.StatusMisdirectedRequest, callAs(t, own+1, c.addresses[0], path, message), path)
 	}
-	reply, err := newsOf(c.nodes[0])
+	reply, err := followAsNewRouter(c.nodes[0])
 	require.NoError(t, err)
 	require.Empty(t, reply.Instances)
-	require.Equal(t, 1, reply.RouterCount, "only the one that asks")
+	require.Equal(t, 1, reply.RouterCount, "only the requesting router")
 	version, _, err := c.nodes[0].Read(context.Background())
 	require.NoError(t, err)
 	require.EqualValues(t, 1, version)
-	require.Equal(t, http.StatusOK, callAs(t, 0, c.addresses[0], directory.PathFollow, news), "a process that knows no group")
+	require.Equal(t, http.StatusOK, callAs(t, 0, c.addresses[0], directory.PathFollow, follow), "a process that knows no group")
 }
 
-// TestNodesThatJoinLearnTheGroup guards against a node that never learns its group, which would be
-// refused by nobody and refuse nobody.
-func TestNodesThatJoinLearnTheGroup(t *testing.T) {
+// TestJoiningNodesLearnTheGroup guards against a node that never learns its group, so that it
+// neither rejects calls of other groups nor is rejected by them.
+func TestJoiningNodesLearnTheGroup(t *testing.T) {
 	c := newCluster(t, 5)
 	c.startAll(true)
 	c.put(document(1, "first"))
 	own := addressee.GroupOf(c.seeds)
-	c.everywhere("the group is not known", func(node *runningNode) bool { return groupAt(node) == own })
+	c.eventuallyEverywhere("the group is not known", func(node *runningNode) bool { return groupAt(node) == own })
 	c.stop(4)
 	c.start(4, false)
-	c.eventually("a node that starts again has forgotten its group", func(node *runningNode) bool {
+	c.eventually("a restarted node has lost its group", func(node *runningNode) bool {
 		return node == c.nodes[4] && groupAt(node) == own
 	})
 }
 
-// TestVoterOfAnotherGroupAtAnAddressChangesNothing guards against two groups whose logs mix, where a
-// founder of one listens at the address of a founder of the other: both derive the same id.
+// TestVoterOfAnotherGroupAtAnAddressChangesNothing guards against mixing the logs of two groups
+// when a founder of one listens at the address of a founder of the other: both derive the same
+// id.
 func TestVoterOfAnotherGroupAtAnAddressChangesNothing(t *testing.T) {
-	c := wholeCluster(t)
-	c.everywhere("not three voters", c.hasVoters(0, 1, 2))
+	c := newFormedCluster(t)
+	c.eventuallyEverywhere("not three voters", c.hasVoters(0, 1, 2))
 	c.stop(2)
 	other := newCluster(t, 3)
 	other.losses, other.addresses[0] = 1, c.addresses[2]
@@ -87,16 +89,16 @@
 	other.startAll(true)
 	other.put(document(5, "other"))
 	c.put(document(2, "second"))
-	time.Sleep(stateShownFor)
-	c.everywhere("not read", c.reads(document(2, "second")))
-	other.everywhere("not read", other.reads(document(5, "other")))
-	c.everywhere("the group has changed", func(node *runningNode) bool { return groupAt(node) == addressee.GroupOf(c.seeds) })
+	time.Sleep(observationTime)
+	c.eventuallyEverywhere("not read", c.reads(document(2, "second")))
+	other.eventuallyEverywhere("not read", other.reads(document(5, "other")))
+	c.eventuallyEverywhere("the group has changed", func(node *runningNode) bool { return groupAt(node) == addressee.GroupOf(c.seeds) })
 }
 
-// TestSeedOfAnotherGroupIsNotFollowed guards against a router or node that starts while the address of
-// one of its seeds belongs to another group, and would stay with that.
+// TestSeedOfAnotherGroupIsNotFollowed guards against a router or node that starts while the
+// address of one of its seeds belongs to another group, and would join that group.
 func TestSeedOfAnotherGroupIsNotFollowed(t *testing.T) {
-	c := wholeCluster(t)
+	c := newFormedCluster(t)
 	seeds := append(testaddress.List(2), c.addresses[0])
 	for _, request := range []directory.FollowRequest{
 		{Probe: true, Seeds: seeds}, {Router: directory.Router{Name: "router", Address: "10.0.0.9:1"}, Seeds: seeds},
@@ -128,9 +130,9 @@
 	joining.seeds = append(testaddress.List(2), c.addresses[0])
 	joining.start(0, false)
 	require.NoError(t, joining.nodes[0].Heartbeat(context.Background(), instance("i1", "s", registry.Ready, 1)))
-	time.Sleep(stateShownFor)
-	c.everywhere("the group has grown", func(node *runningNode) bool {
-		reply, err := newsOf(node)
+	time.Sleep(observationTime)
+	c.eventuallyEverywhere("the group has grown", func(node *runningNode) bool {
+		reply, err := followAsNewRouter(node)
 		return err == nil && len(reply.Nodes) == 3 && len(reply.Instances) == 0
 	})
 }
--- a/internal/directory/joining.go
+++ b/internal/directory/joining.go
@@ -14,103 +14,104 @@
 	"github.com/martenstage/martenstage/internal/voter"
 )
 
-// runJoining asks the group to make this node a member while it is none, and
-// whether it still is one while it hears no leader.
+// runJoining requests membership while this node is not a member, and checks whether it still
+// is one while it has no leader.
 func (n *Node) runJoining(ctx context.Context) {
-	lost := time.Time{}
-	every(ctx, joinInterval, func() {
+	leaderlessSince := time.Time{}
+	runEvery(ctx, joinInterval, func() {
 		status := n.status()
-		if isIn(status) && status.Leader != 0 {
-			lost = time.Time{}
-			n.rememberGroup(status)
+		if isGroupMember(status) && status.Leader != 0 {
+			leaderlessSince = time.Time{}
+			n.savePeerAddresses(status)
 			return
 		}
-		if lost.IsZero() {
-			lost = steadyclock.Now()
+		if leaderlessSince.IsZero() {
+			leaderlessSince = steadyclock.Now()
 		}
-		if isIn(status) && steadyclock.Since(lost) < orphanAfter {
+		if isGroupMember(status) && steadyclock.Since(leaderlessSince) < leaderlessTimeout {
 			return
 		}
-		n.askToJoin(ctx)
+		n.requestMembership(ctx)
 	})
 }
 
-// isIn reports whether a node is a member of the group, as a voter or a learner.
-func isIn(status voter.Status) bool {
+// isGroupMember reports whether a node is a member of the group, as a voter or a learner.
+func isGroupMember(status voter.Status) bool {
 	return lo.ContainsBy(status.Members, func(m consensus.MemberStatus) bool { return m.ID == status.ID })
 }
 
-func (n *Node) rememberGroup(status voter.Status) {
-	group := lo.Map(status.Members, func(m consensus.MemberStatus, _ int) string { return m.Address })
-	if err := n.member.remember(group); err != nil {
+func (n *Node) savePeerAddresses(status voter.Status) {
+	addresses := lo.Map(status.Members, func(m consensus.MemberStatus, _ int) string { return m.Address })
+	if err := n.member.savePeerAddresses(addresses); err != nil {
 		n.logger.WithError(err).Debug("group_not_remembered")
 	}
 }
 
-// askToJoin asks every known node; the leader among them takes note.
-func (n *Node) askToJoin(ctx context.Context) {
+// requestMembership sends a join request to every known node; the leader among them records it.
+func (n *Node) requestMembership(ctx context.Context) {
 	request := joinRequest{ID: n.member.id(), Address: n.config.PeerAddress}
 	if n.group() == 0 {
 		request.Seeds = *n.seeds.Load()
 	}
-	replies := make(chan joinReply, maxAsked)
-	asked := lo.Slice(n.joinTargets(), 0, maxAsked)
-	calling, cancel := context.WithTimeout(ctx, joinInterval)
+	replies := make(chan joinReply, maxJoinTargets)
+	targets := lo.Slice(n.joinTargets(), 0, maxJoinTargets)
+	callCtx, cancel := context.WithTimeout(ctx, joinInterval)
 	defer cancel()
-	for _, address := range asked {
+	for _, address := range targets {
 		go func() {
 			var reply joinReply
-			if n.peers.call(calling, address, pathJoin, request, &reply) != nil {
+			if n.peers.call(callCtx, address, pathJoin, request, &reply) != nil {
 				reply = joinReply{}
 			}
 			replies <- reply
 		}()
 	}
 	removed := false
-	var group []string
-	for range asked {
+	var members []string
+	for range targets {
 		reply := <-replies
 		removed = removed || reply.Removed
-		group = append(group, reply.Group...)
+		members = append(members, reply.Group...)
 	}
-	// The leader may be none of those that were asked; the next round asks it.
+	// The leader may not be among the queried nodes; the next round includes it.
 	n.mutex.Lock()
-	n.told = lo.Uniq(group)
+	n.reportedMembers = lo.Uniq(members)
 	n.mutex.Unlock()
 	if removed {
-		n.startOver(request.ID)
+		n.rejoinAsNewVoter(request.ID)
 	}
 }
 
-// maxAsked bounds the nodes that are asked at once.
-const maxAsked = 16
+// maxJoinTargets bounds the nodes queried at once.
+const maxJoinTargets = 16
 
-// joinTargets are the nodes to ask: a stranger knows seeds, a voter that lost
-// its group also the members that it remembers.
+// joinTargets returns the nodes to query: the seeds, and for a node that was a member also the
+// members that it remembers.
 func (n *Node) joinTargets() []string {
-	known := append(n.accepting(), n.peerAddresses()...)
+	known := append(n.joinableMembers(), n.peerAddresses()...)
 	known = append(known, *n.seeds.Load()...)
-	known = append(known, n.member.knownGroup()...)
+	known = append(known, n.member.peerAddresses()...)
 	return lo.Without(lo.Uniq(known), n.config.PeerAddress, "")
 }
 
-// accepting are the members that nodes have named which take this one in.
-func (n *Node) accepting() []string {
+// joinableMembers returns the members reported by nodes whose group this node may join.
+func (n *Node) joinableMembers() []string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return slices.Clone(n.told)
+	return slices.Clone(n.reportedMembers)
 }
 
-func (n *Node) startOver(removed uint64) {
-	n.logger.WithField("voter", removed).Warn("removed_from_group: joins again as a new voter")
+func (n *Node) rejoinAsNewVoter(removed uint64) {
+	n.logger.WithField("voter", removed).Warn("removed_from_group: rejoining as a new voter")
 	if err := n.member.rejoin(); err != nil {
 		n.logger.WithError(err).Error("voter_not_opened")
 	}
 }
 
-// joined takes note of a node that asks to be a member, and answers how the
-// group sees it. Only a leader keeps the note; where a member has moved to, each node takes in.
-func (n *Node) joined(request joinRequest) (joinReply, error) {
+// handleJoin handles a join request and replies with the group's view of the requester. Only
+// the leader records the candidate; every node records the new address of a member that has
+// moved.
+func (n *Node) handleJoin(request joinRequest) (joinReply, error) {
 	if !n.servesSeeds(request.Seeds) {
 		return joinReply{}, errOtherSeeds
 	}
@@ -128,45 +129,44 @@
 		reply.Removed = true
 		return reply, nil
 	}
-	n.candidates[request.Address] = candidate{ID: request.ID, Address: request.Address, Asked: steadyclock.Now()}
+	n.candidates[request.Address] = candidate{ID: request.ID, Address: request.Address, RequestedAt: steadyclock.Now()}
 	return reply, nil
 }
 
-// runFormation lets the leader bring the group to its size and replace voters
-// that are gone.
+// runFormation lets the leader grow the group to its size and replace failed voters.
 func (n *Node) runFormation(ctx context.Context) {
 	rules := formationRules{Size: n.config.groupSize(), ReplaceAfter: replaceAfter, CandidateLifetime: candidateLifetime}
-	every(ctx, formationInterval, func() {
+	runEvery(ctx, formationInterval, func() {
 		status := n.status()
 		if status.Role != consensus.Leader {
-			n.forgetGroup()
+			n.clearLeaderState()
 			return
 		}
-		n.noteFormed(ctx, status, rules.Size)
-		change, wanted := decideChange(n.viewMembers(status), n.takeCandidates(rules), rules)
+		n.recordFormed(ctx, status, rules.Size)
+		change, wanted := decideChange(n.viewMembers(status), n.activeCandidates(rules), rules)
 		if wanted {
 			n.changeMember(ctx, change)
 		}
 	})
 }
 
-// forgetGroup drops what only a leader knows.
-func (n *Node) forgetGroup() {
+// clearLeaderState drops the state that only a leader keeps.
+func (n *Node) clearLeaderState() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	clear(n.silentSince)
 	clear(n.candidates)
 }
 
-// noteFormed commits, once, that the group has reached its size.
-func (n *Node) noteFormed(ctx context.Context, status voter.Status, size int) {
+// recordFormed commits, once, that the group has reached its size.
+func (n *Node) recordFormed(ctx context.Context, status voter.Status, size int) {
 	voters := lo.CountBy(status.Members, func(m consensus.MemberStatus) bool { return !m.Learner })
 	if voters < size || n.member.state().formed() {
 		return
 	}
-	proposing, cancel := context.WithTimeout(ctx, changeTimeout)
+	proposeCtx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	if _, err := n.propose(proposing, command{Formed: true}); err == nil {
+	if _, err := n.propose(proposeCtx, command{Formed: true}); err == nil {
 		n.logger.WithField("voters", voters).Info("group_formed")
 	}
 }
@@ -179,50 +179,50 @@
 	for _, member := range status.Members {
 		if member.Active || member.ID == status.ID {
 			delete(n.silentSince, member.ID)
-		} else if _, noted := n.silentSince[member.ID]; !noted {
+		} else if _, recorded := n.silentSince[member.ID]; !recorded {
 			n.silentSince[member.ID] = now
 		}
 		view := memberView{MemberStatus: member, ReachedAt: n.member.voter().ReachedAt(member.ID)}
 		if since, silent := n.silentSince[member.ID]; silent {
-			view.Silent = now.Sub(since)
+			view.SilentFor = now.Sub(since)
 		}
 		views = append(views, view)
 	}
 	return views
 }
 
-// takeCandidates returns the nodes that asked lately, ordered by address.
-func (n *Node) takeCandidates(rules formationRules) []candidate {
+// activeCandidates drops expired candidates and returns the others, ordered by address.
+func (n *Node) activeCandidates(rules formationRules) []candidate {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	var waiting []candidate
-	for address, asking := range n.candidates {
+	for address, requester := range n.candidates {
 		switch {
-		case steadyclock.Since(asking.Asked) > rules.CandidateLifetime || n.refused[asking.ID]:
+		case steadyclock.Since(requester.RequestedAt) > rules.CandidateLifetime || n.refused[requester.ID]:
 			delete(n.candidates, address)
 		default:
-			waiting = append(waiting, asking)
+			waiting = append(waiting, requester)
 		}
 	}
 	slices.SortFunc(waiting, func(a, b candidate) int { return cmp.Compare(a.Address, b.Address) })
 	return waiting
 }
 
-// changeMember makes one change and logs it.
+// changeMember makes one membership change and logs it.
 func (n *Node) changeMember(ctx context.Context, change consensus.Change) {
-	changing, cancel := context.WithTimeout(ctx, changeTimeout)
+	changeCtx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	kind, err := "", error(nil)
 	switch change.Kind {
 	case consensus.RemoveMember:
-		kind, err = "remove", n.member.voter().RemoveVoter(changing, change.ID)
+		kind, err = "remove", n.member.voter().RemoveVoter(changeCtx, change.ID)
 	case consensus.MoveMember:
-		kind, err = "move", n.member.voter().Move(changing, change.ID, change.Address)
+		kind, err = "move", n.member.voter().Move(changeCtx, change.ID, change.Address)
 	case consensus.PromoteLearner:
-		kind, err = "promote", n.member.voter().Promote(changing, change.ID)
+		kind, err = "promote", n.member.voter().Promote(changeCtx, change.ID)
 	default:
-		kind, err = "add", n.member.voter().AddLearner(changing, change.ID, change.Address)
-		n.noteRefused(change.ID, err)
+		kind, err = "add", n.member.voter().AddLearner(changeCtx, change.ID, change.Address)
+		n.recordRefused(change.ID, err)
 	}
 	outcome := "done"
 	if err != nil {
@@ -234,9 +234,8 @@
 	}).Info("member_change")
 }
 
-// noteRefused remembers an id that was a member before: its node has to start
-// over under another one.
-func (n *Node) noteRefused(id uint64, err error) {
+// recordRefused records an id that was a member before: its node must rejoin under a new one.
+func (n *Node) recordRefused(id uint64, err error) {
 	if refusalOf(err) != consensus.RefusedIDInUse {
 		return
 	}
--- a/internal/directory/machine.go
+++ b/internal/directory/machine.go
@@ -12,153 +12,154 @@
 	"github.com/martenstage/martenstage/internal/voter"
 )
 
-// maxDepartures bounds the remembered departures; the oldest are forgotten. The
-// ids of instances are never used again, and an instance that left ends within
-// minutes.
+// maxDepartures bounds the recorded departures; the oldest are dropped. Instance ids are never
+// reused, and an instance that departed stops within minutes.
 const maxDepartures = 20_000
 
 // command is one entry of the replicated log.
 type command struct {
-	// Document of Version is to be put in force.
+	// Document is to take effect as version Version.
 	Version  uint64 `json:"version,omitempty"`
 	Document []byte `json:"document,omitempty"`
-	// Departures are ids of instances that get no new work; Names are servers that left
-	// without saying which of their starts is meant.
+	// Departures are ids of instances that get no new work; Names are servers that departed
+	// without naming a start.
 	Departures []string `json:"departures,omitempty"`
 	Names      []string `json:"names,omitempty"`
-	// Starts are servers that left and said which start is meant: earlier ones leave with it.
+	// Starts are servers that departed and named a start: earlier starts depart with it.
 	Starts []departedStart `json:"starts,omitempty"`
-	// Formed says that the group has reached its size once.
+	// Formed reports that the group has once reached its size.
 	Formed bool `json:"formed,omitempty"`
-	// Evacuations are orders of operators, in the order in which they hold.
+	// Evacuations are orders of operators, in the order in which they apply.
 	Evacuations []evacuationOrder `json:"evacuations,omitempty"`
-	// Rollouts are orders of operators, and steps of the leader.
+	// Rollouts are orders of operators and steps of the leader.
 	Rollouts []rolloutCommand `json:"rollouts,omitempty"`
-	// Quarantine are orders about requests that end servers.
+	// Quarantine are orders about requests that crash servers.
 	Quarantine []quarantine.Order `json:"quarantine,omitempty"`
 }
 
-// putResult is what applying a document gave.
-type putResult struct {
-	// Held is the version in force after the command.
-	Held uint64
-	// Installed says that the command's document is the one in force.
+// applyResult is the result of applying a command.
+type applyResult struct {
+	// CurrentVersion is the document version in effect after the command.
+	CurrentVersion uint64
+	// Installed reports that the command's document is the one in effect.
 	Installed bool
-	// Quarantine is what orders about requests that end servers gave.
+	// Quarantine is the result of orders about requests that crash servers.
 	Quarantine QuarantineReply
-	// UnderWay is the version to which another roll-out of the service is under way.
-	UnderWay string
+	// ConflictingTarget is the target version of another rollout of the service that is in
+	// progress.
+	ConflictingTarget string
 }
 
-// replicated is the state that the log drives, as snapshots keep it.
-type replicated struct {
+// replicatedState is the state driven by the log, as stored in snapshots.
+type replicatedState struct {
 	Version    uint64   `json:"version"`
 	Document   []byte   `json:"document"`
 	Departures []string `json:"departures"`
-	// Forgotten counts older departures than those, so that positions go on after a snapshot.
-	Forgotten int `json:"forgotten,omitempty"`
-	// Names are the servers that left, by name and index, and Index is that of the last entry that
-	// was applied.
+	// DroppedDepartures counts the departures dropped before these, so that positions stay
+	// valid after a snapshot.
+	DroppedDepartures int `json:"forgotten,omitempty"`
+	// Names are the departed servers, by name and index; Index is that of the last applied
+	// entry.
 	Names  []registry.NameDeparture `json:"names,omitempty"`
 	Index  uint64                   `json:"index,omitempty"`
 	Formed bool                     `json:"formed"`
-	// Evacuated are the zones whose servers get no requests, ordered by name, and
-	// EvacuationRevision rises whenever they change.
+	// Evacuated are the zones whose servers get no requests, ordered by name;
+	// EvacuationRevision increases with every change.
 	Evacuated          []Evacuation `json:"evacuated,omitempty"`
 	EvacuationRevision uint64       `json:"evacuation_revision,omitempty"`
-	// Rollouts are the latest ones, ordered by service; RolloutRevision rises whenever they
+	// Rollouts are the latest ones, ordered by service; RolloutRevision increases with every
 	// change.
 	Rollouts        []Rollout `json:"rollouts,omitempty"`
 	RolloutRevision uint64    `json:"rollout_revision,omitempty"`
-	// Quarantine holds the requests that end servers.
+	// Quarantine holds the requests that crash servers.
 	Quarantine quarantine.Book `json:"quarantine"`
 }
 
-// machine applies the log. It is safe for concurrent use.
-type machine struct {
+// stateMachine applies the log. It is safe for concurrent use.
+type stateMachine struct {
 	mutex sync.Mutex
-	state replicated
-	// departed are the departures of the state.
+	state replicatedState
+	// departed indexes the departures of the state.
 	departed *registry.Departures
 	changed  chan struct{}
 }
 
-var _ voter.StateMachine = (*machine)(nil)
+var _ voter.StateMachine = (*stateMachine)(nil)
 
-func newMachine() *machine {
-	return &machine{departed: registry.NewDepartures(maxDepartures), changed: make(chan struct{})}
+func newStateMachine() *stateMachine {
+	return &stateMachine{departed: registry.NewDepartures(maxDepartures), changed: make(chan struct{})}
 }
 
-// Apply carries out a committed command and returns a putResult or an error.
-func (m *machine) Apply(index uint64, data []byte) any {
+// Apply applies a committed command and returns an applyResult or an error.
+func (m *stateMachine) Apply(index uint64, data []byte) any {
 	var decoded command
 	if err := json.Unmarshal(data, &decoded); err != nil {
-		return errors.Wrap(err, "a log entry can't be read")
+		return errors.Wrap(err, "cannot decode a log entry")
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.state.Index = index
-	result := m.putDocument(decoded)
-	m.depart(decoded)
+	result := m.applyDocument(decoded)
+	m.applyDepartures(decoded)
 	m.state.Formed = m.state.Formed || decoded.Formed
 	for _, order := range decoded.Evacuations {
-		m.evacuate(order)
+		m.applyEvacuation(order)
 	}
-	for _, told := range decoded.Rollouts {
-		result.UnderWay = m.applyRollout(told)
+	for _, change := range decoded.Rollouts {
+		result.ConflictingTarget = m.applyRollout(change)
 	}
 	if len(decoded.Quarantine) > 0 {
 		result.Quarantine = m.applyQuarantine(decoded.Quarantine)
 	}
-	m.notify()
+	m.notifyChanged()
 	return result
 }
 
-// putDocument lets the highest version win. A version that is not higher than
-// the one held changes nothing, whatever its content.
-func (m *machine) putDocument(decoded command) putResult {
+// applyDocument keeps the highest version. A version that is not higher than the current one
+// changes nothing, whatever its content.
+func (m *stateMachine) applyDocument(decoded command) applyResult {
 	if decoded.Version <= m.state.Version {
 		same := decoded.Version == m.state.Version && bytes.Equal(decoded.Document, m.state.Document)
-		return putResult{Held: m.state.Version, Installed: same}
+		return applyResult{CurrentVersion: m.state.Version, Installed: same}
 	}
 	m.state.Version, m.state.Document = decoded.Version, decoded.Document
-	return putResult{Held: decoded.Version, Installed: true}
+	return applyResult{CurrentVersion: decoded.Version, Installed: true}
 }
 
-// depart takes in departures of the entry at the state's index.
-func (m *machine) depart(decoded command) {
+// applyDepartures records the departures of the entry at the state's index.
+func (m *stateMachine) applyDepartures(decoded command) {
 	for _, id := range decoded.Departures {
 		if m.departed.Add(id) {
-			m.state.Forgotten++
+			m.state.DroppedDepartures++
 		}
 	}
 	for _, name := range decoded.Names {
 		m.departed.AddName(registry.NameDeparture{Name: name, Before: m.state.Index})
 	}
 	for _, start := range decoded.Starts {
-		m.departed.AddName(registry.NameDeparture{Name: start.Name, Before: m.state.Index, Born: start.Born})
+		m.departed.AddName(registry.NameDeparture{Name: start.Name, Before: m.state.Index, Born: start.StartTime})
 	}
 }
 
-func (m *machine) notify() {
+func (m *stateMachine) notifyChanged() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// Snapshot returns the whole state.
-func (m *machine) Snapshot() ([]byte, error) {
+// Snapshot returns the complete state.
+func (m *stateMachine) Snapshot() ([]byte, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	whole := m.state
-	whole.Departures, whole.Names = m.departed.IDs(), m.departed.NamesAfter(0)
-	return json.Marshal(whole)
+	snapshot := m.state
+	snapshot.Departures, snapshot.Names = m.departed.IDs(), m.departed.NamesAfter(0)
+	return json.Marshal(snapshot)
 }
 
-// Restore replaces the whole state.
-func (m *machine) Restore(data []byte) error {
-	var restored replicated
+// Restore replaces the complete state.
+func (m *stateMachine) Restore(data []byte) error {
+	var restored replicatedState
 	if err := json.Unmarshal(data, &restored); err != nil {
-		return errors.Wrap(err, "a snapshot can't be read")
+		return errors.Wrap(err, "cannot decode a snapshot")
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -166,82 +167,81 @@
 	for _, id := range restored.Departures {
 		m.departed.Add(id)
 	}
-	for _, left := range restored.Names {
-		m.departed.AddName(left)
+	for _, departure := range restored.Names {
+		m.departed.AddName(departure)
 	}
-	// The set keeps them from here on.
+	// From here on they are kept in m.departed.
 	restored.Departures, restored.Names = nil, nil
 	m.state = restored
-	m.notify()
+	m.notifyChanged()
 	return nil
 }
 
-// document returns the version in force, its text, and a channel that is closed
-// with the next change of the state.
-func (m *machine) document() (version uint64, text []byte, changed <-chan struct{}) {
+// document returns the version in effect, its text, and a channel that is closed on the next
+// state change.
+func (m *stateMachine) document() (version uint64, text []byte, changed <-chan struct{}) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.state.Version, m.state.Document, m.changed
 }
 
-// hasDeparted reports whether the departure of a start is known by its id.
-func (m *machine) hasDeparted(id string) bool {
+// hasDeparted reports whether a departure is recorded for the id of a start.
+func (m *stateMachine) hasDeparted(id string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.departed.Has(id)
 }
 
-// holds reports whether a departure holds for an instance.
-func (m *machine) holds(instance registry.Instance) bool {
+// departureApplies reports whether a departure applies to an instance.
+func (m *stateMachine) departureApplies(instance registry.Instance) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.departed.Hold(instance)
 }
 
-// doubts reports whether an instance may be an earlier start of one that left.
-func (m *machine) doubts(instance registry.Instance) bool {
+// mayHaveDeparted reports whether an instance may be an earlier start of a departed one.
+func (m *stateMachine) mayHaveDeparted(instance registry.Instance) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.departed.Doubts(instance)
 }
 
-// hasLeft reports whether some start of a server left.
-func (m *machine) hasLeft(name string) bool {
+// serverDeparted reports whether any start of a server has departed.
+func (m *stateMachine) serverDeparted(name string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.departed.HasName(name)
 }
 
-// next is the index of the first entry that was not applied yet, as far as entries change the
-// state.
-func (m *machine) next() uint64 {
+// nextIndex is one above the index of the last entry applied to the state.
+func (m *stateMachine) nextIndex() uint64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.state.Index + 1
 }
 
-// departedNames returns the departures of names above an index.
-func (m *machine) departedNames(above uint64) []registry.NameDeparture {
+// departedNames returns the departures by name above an index.
+func (m *stateMachine) departedNames(above uint64) []registry.NameDeparture {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.departed.NamesAfter(above)
 }
 
-// departures returns the ids from a position on, and the position behind them.
-// A position that is beyond the end, as of a state that is replayed, gives all.
-func (m *machine) departures(from int) (ids []string, next int) {
+// departures returns the ids from a position on and the next position. A position beyond the
+// end, as after a replay of the log, returns all ids.
+func (m *stateMachine) departures(from int) (ids []string, next int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	forgotten := m.state.Forgotten
+	dropped := m.state.DroppedDepartures
 	ids = m.departed.IDs()
-	next = forgotten + len(ids)
-	if from < forgotten || from > next {
-		from = forgotten
+	next = dropped + len(ids)
+	if from < dropped || from > next {
+		from = dropped
 	}
-	return append([]string(nil), ids[from-forgotten:]...), next
+	return append([]string(nil), ids[from-dropped:]...), next
 }
 
-func (m *machine) formed() bool {
+func (m *stateMachine) formed() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.state.Formed
--- a/internal/directory/machine_test.go
+++ b/internal/directory/machine_test.go
@@ -10,7 +10,7 @@
 	"github.com/martenstage/martenstage/internal/directory"
 )
 
-// depart applies the departures of servers with numbers from one to another.
+// depart applies the departures of servers numbered from one value to another.
 func depart(t *testing.T, machine *directory.Machine, from, to int) {
 	t.Helper()
 	for number := from; number <= to; number++ {
@@ -18,9 +18,9 @@
 	}
 }
 
-// TestDeparturesAreLeftOutAfterASnapshot guards against positions that mean other departures once
-// a node has taken over a snapshot from one that has forgotten its oldest ones.
-func TestDeparturesAreLeftOutAfterASnapshot(t *testing.T) {
+// TestDeparturesAreCompleteAfterASnapshot guards against positions that refer to other
+// departures after a node has restored a snapshot from a node that dropped its oldest ones.
+func TestDeparturesAreCompleteAfterASnapshot(t *testing.T) {
 	const known, forgotten = 15_000, 5_000
 	follower, leader := directory.NewMachine(), directory.NewMachine()
 	depart(t, follower, 1, known)
@@ -29,9 +29,9 @@
 	snapshot, err := leader.Snapshot()
 	require.NoError(t, err)
 	require.NoError(t, follower.Restore(snapshot))
-	told, next := follower.DeparturesFrom(position)
-	require.True(t, lo.Contains(told, fmt.Sprintf("i%d", known+1)), "the first departure that is new was left out")
-	require.Len(t, told, directory.MaxDepartures+forgotten-known)
+	received, next := follower.DeparturesFrom(position)
+	require.True(t, lo.Contains(received, fmt.Sprintf("i%d", known+1)), "the first new departure is missing")
+	require.Len(t, received, directory.MaxDepartures+forgotten-known)
 	rest, _ := follower.DeparturesFrom(next)
 	require.Empty(t, rest)
 }
--- a/internal/directory/member.go
+++ b/internal/directory/member.go
@@ -17,59 +17,59 @@
 	"github.com/martenstage/martenstage/internal/voter"
 )
 
-// logFolder holds the voter's log, within the data folder; a voter that was
-// removed from the group finds its former log in setAsideFolder.
+// logFolder holds the voter's log within the data folder; the former log of a voter that was
+// removed from the group is kept in removedLogFolder.
 const (
-	logFolder      = "log"
-	setAsideFolder = "log.removed"
+	logFolder        = "log"
+	removedLogFolder = "log.removed"
 )
 
-// memberHost owns the voter of a node and opens it anew when its disk failed or
-// when it was removed from the group.
+// memberHost owns the voter of a node and reopens it after a disk failure or after its removal
+// from the group.
 type memberHost struct {
 	config      Config
 	environment Environment
 	transport   voter.Transport
-	machine     atomic.Pointer[machine]
+	machine     atomic.Pointer[stateMachine]
 	current     atomic.Pointer[voter.Voter]
 
 	mutex    sync.Mutex
 	identity identity
-	// replaced is closed when the machine is another one.
-	replaced chan struct{}
+	// replacedSignal is closed when the state machine is replaced.
+	replacedSignal chan struct{}
 }
 
 func openMember(config Config, environment Environment, transport *peerClient) (*memberHost, error) {
-	host := &memberHost{config: config, environment: environment, transport: transport, replaced: make(chan struct{})}
-	found, known, err := loadIdentity(config.Folder)
+	host := &memberHost{config: config, environment: environment, transport: transport, replacedSignal: make(chan struct{})}
+	stored, known, err := loadIdentity(config.Folder)
 	if err != nil {
 		return nil, err
 	}
 	if !known {
-		found = newIdentity(config)
-		if err := found.save(config.Folder); err != nil {
+		stored = newIdentity(config)
+		if err := stored.save(config.Folder); err != nil {
 			return nil, err
 		}
 	}
-	host.identity = found
-	// Before the voter runs: what it sends names the group.
-	transport.group.set(found.ownGroup())
-	if err := host.prepare(); err != nil {
+	host.identity = stored
+	// Must precede the start of the voter, whose messages name the group.
+	transport.group.set(stored.groupID())
+	if err := host.createLog(); err != nil {
 		return nil, err
 	}
 	return host, host.open()
 }
 
-// prepare makes the log of a new identity. A folder whose making a loss of power
-// cut short holds nothing that was promised, so that it is made again; one that
-// was made once is never thrown away.
-func (h *memberHost) prepare() error {
-	if h.identity.Made {
+// createLog creates the log of a new identity. A log whose creation was interrupted by a power
+// loss holds no acknowledged votes or entries, so it is created again; a completed log is never
+// deleted.
+func (h *memberHost) createLog() error {
+	if h.identity.LogCreated {
 		return nil
 	}
 	folder := filepath.Join(h.config.Folder, logFolder)
 	if err := os.RemoveAll(folder); err != nil {
-		return errors.Wrap(err, "an unfinished log can't be removed")
+		return errors.Wrap(err, "cannot remove the incomplete log")
 	}
 	log, _, err := raftlog.Open(raftlog.Options{Folder: folder, VoterID: h.identity.ID, InitialVoters: h.initialVoters()})
 	if err != nil {
@@ -78,30 +78,30 @@
 	if err := log.Close(); err != nil {
 		return err
 	}
-	h.identity.Made = true
+	h.identity.LogCreated = true
 	return h.identity.save(h.config.Folder)
 }
 
-// newIdentity is that of an empty folder: a founder where the group is formed
-// and this node is a seed, else one that joins.
+// newIdentity returns the identity for an empty folder: a founder if the group is being formed
+// and this node is a seed, otherwise a joining node.
 func newIdentity(config Config) identity {
 	if config.Bootstrap && slices.Contains(config.Seeds, config.PeerAddress) {
-		return identity{ID: founderID(config.PeerAddress), Founder: true, Group: config.Seeds}
+		return identity{ID: founderID(config.PeerAddress), Founder: true, PeerAddresses: config.Seeds}
 	}
-	return identity{ID: drawID()}
+	return identity{ID: randomID()}
 }
 
 func (h *memberHost) open() error {
-	applied := newMachine()
+	machine := newStateMachine()
 	opened, err := voter.Open(voter.Config{
 		ID: h.identity.ID, Address: h.config.PeerAddress,
 		Folder: filepath.Join(h.config.Folder, logFolder), InitialVoters: h.initialVoters(),
 		Heartbeat: heartbeat, ElectionTimeout: electionTimeout, WrapStore: h.environment.WrapStore,
-	}, applied, h.transport, h.environment.Logger, replacingRegisterer{h.environment.Registerer})
+	}, machine, h.transport, h.environment.Logger, replacingRegisterer{h.environment.Registerer})
 	if err != nil {
 		return err
 	}
-	h.machine.Store(applied)
+	h.machine.Store(machine)
 	h.current.Store(opened)
 	return nil
 }
@@ -110,13 +110,13 @@
 	if !h.identity.Founder {
 		return nil
 	}
-	return lo.Map(h.identity.Group, func(address string, _ int) consensus.Member {
+	return lo.Map(h.identity.PeerAddresses, func(address string, _ int) consensus.Member {
 		return consensus.Member{ID: founderID(address), Address: address}
 	})
 }
 
-func (h *memberHost) voter() *voter.Voter { return h.current.Load() }
-func (h *memberHost) state() *machine     { return h.machine.Load() }
+func (h *memberHost) voter() *voter.Voter  { return h.current.Load() }
+func (h *memberHost) state() *stateMachine { return h.machine.Load() }
 
 func (h *memberHost) id() uint64 {
 	h.mutex.Lock()
@@ -124,36 +124,36 @@
 	return h.identity.ID
 }
 
-func (h *memberHost) knownGroup() []string {
+func (h *memberHost) peerAddresses() []string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.identity.Group
+	return h.identity.PeerAddresses
 }
 
-// remember keeps the addresses of the group on disk, so that a node that starts
-// again finds it without its seeds.
-func (h *memberHost) remember(group []string) error {
+// savePeerAddresses stores the addresses of the group, so that a restarted node finds it
+// without its seeds.
+func (h *memberHost) savePeerAddresses(addresses []string) error {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if h.identity.Founder || slices.Equal(group, h.identity.Group) {
+	if h.identity.Founder || slices.Equal(addresses, h.identity.PeerAddresses) {
 		return nil
 	}
 	updated := h.identity
-	updated.Group = group
-	return h.replace(updated)
+	updated.PeerAddresses = addresses
+	return h.saveIdentity(updated)
 }
 
-// rememberID keeps the group's id on disk.
-func (h *memberHost) rememberID(group addressee.Group) error {
+// saveGroupID stores the group's id.
+func (h *memberHost) saveGroupID(group addressee.Group) error {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	updated := h.identity
 	updated.GroupID = group
-	return h.replace(updated)
+	return h.saveIdentity(updated)
 }
 
-// replace writes another identity to disk and goes by it. The caller holds the mutex.
-func (h *memberHost) replace(updated identity) error {
+// saveIdentity stores an updated identity and switches to it. The caller holds the mutex.
+func (h *memberHost) saveIdentity(updated identity) error {
 	if err := updated.save(h.config.Folder); err != nil {
 		return err
 	}
@@ -161,61 +161,60 @@
 	return nil
 }
 
-// reopen starts the voter again from its folder.
+// reopen closes the voter and opens it again from its folder.
 func (h *memberHost) reopen() error {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if err := h.halt(); err != nil {
+	if err := h.closeVoter(); err != nil {
 		h.environment.Logger.WithError(err).Debug("voter_closed_with_error")
 	}
-	return h.restart()
+	return h.reopenVoter()
 }
 
-// rejoin puts the log of a voter that was removed aside and starts over as a
-// new one.
+// rejoin moves the log of a removed voter aside and starts over as a new voter.
 func (h *memberHost) rejoin() error {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if err := h.halt(); err != nil {
+	if err := h.closeVoter(); err != nil {
 		h.environment.Logger.WithError(err).Debug("voter_closed_with_error")
 	}
-	aside := filepath.Join(h.config.Folder, setAsideFolder)
-	if err := os.RemoveAll(aside); err != nil {
-		return errors.Wrap(err, "an older log can't be removed")
+	removedLog := filepath.Join(h.config.Folder, removedLogFolder)
+	if err := os.RemoveAll(removedLog); err != nil {
+		return errors.Wrap(err, "cannot remove the log that was moved aside before")
 	}
-	if err := os.Rename(filepath.Join(h.config.Folder, logFolder), aside); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return errors.Wrap(err, "the former log can't be put aside")
+	if err := os.Rename(filepath.Join(h.config.Folder, logFolder), removedLog); err != nil && !errors.Is(err, os.ErrNotExist) {
+		return errors.Wrap(err, "cannot move the former log aside")
 	}
-	fresh := identity{ID: drawID(), Group: h.identity.Group, GroupID: h.identity.ownGroup()}
-	if err := h.replace(fresh); err != nil {
+	rejoined := identity{ID: randomID(), PeerAddresses: h.identity.PeerAddresses, GroupID: h.identity.groupID()}
+	if err := h.saveIdentity(rejoined); err != nil {
 		return err
 	}
-	if err := h.prepare(); err != nil {
+	if err := h.createLog(); err != nil {
 		return err
 	}
-	return h.restart()
+	return h.reopenVoter()
 }
 
-// restart opens the voter and tells those who wait on the former machine.
-func (h *memberHost) restart() error {
+// reopenVoter opens the voter and notifies those waiting on the former state machine.
+func (h *memberHost) reopenVoter() error {
 	if err := h.open(); err != nil {
 		return err
 	}
-	close(h.replaced)
-	h.replaced = make(chan struct{})
+	close(h.replacedSignal)
+	h.replacedSignal = make(chan struct{})
 	return nil
 }
 
-func (h *memberHost) halt() error {
-	ended, cancel := context.WithCancel(context.Background())
+func (h *memberHost) closeVoter() error {
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	return h.current.Load().Close(ended)
+	return h.current.Load().Close(canceled)
 }
 
-func (h *memberHost) wasReplaced() <-chan struct{} {
+func (h *memberHost) machineReplaced() <-chan struct{} {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.replaced
+	return h.replacedSignal
 }
 
 func (h *memberHost) close(ctx context.Context) error { return h.current.Load().Close(ctx) }
--- a/internal/directory/metrics.go
+++ b/internal/directory/metrics.go
@@ -18,15 +18,15 @@
 	evacuated  prometheus.Gauge
 	metered    prometheus.Gauge
 	// quarantined counts records by standing, quarantineOrders the orders that this node
-	// carried out as the leader.
+	// applied as the leader.
 	quarantined      *prometheus.GaugeVec
 	quarantineOrders *prometheus.CounterVec
-	// behind and stateAge say how old the state is that this node tells routers.
+	// behind and stateAge describe the lag of the state that this node reports to routers.
 	behind   prometheus.Gauge
 	stateAge prometheus.Gauge
-	// staleTimes counts how often it became out of date.
-	staleTimes  prometheus.Counter
-	misdirected prometheus.Counter
+	// staleTransitions counts how often that state became stale.
+	staleTransitions prometheus.Counter
+	misdirected      prometheus.Counter
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -66,7 +66,7 @@
 		misdirected: factory.NewCounter(prometheus.CounterOpts{
 			Name: "martenstage_directory_misdirected_calls_total", Help: "Calls of processes of another group, which were refused.",
 		}),
-		staleTimes: factory.NewCounter(prometheus.CounterOpts{
+		staleTransitions: factory.NewCounter(prometheus.CounterOpts{
 			Name: "martenstage_directory_state_stale_total", Help: "How often the state of this node became out of date, so that routers left it.",
 		}),
 		stateAge: factory.NewGauge(prometheus.GaugeOpts{
@@ -75,18 +75,18 @@
 	}
 }
 
-// tellQuarantine takes in a book.
-func (m *metrics) tellQuarantine(book quarantine.Book) {
-	quarantined := lo.CountBy(book.Records, func(r quarantine.Record) bool { return r.Quarantined })
+// setQuarantine updates the gauges from the quarantine records.
+func (m *metrics) setQuarantine(records quarantine.Book) {
+	quarantined := lo.CountBy(records.Records, func(r quarantine.Record) bool { return r.Quarantined })
 	m.quarantined.WithLabelValues(quarantine.Quarantined.String()).Set(float64(quarantined))
-	m.quarantined.WithLabelValues(quarantine.Suspected.String()).Set(float64(len(book.Records) - quarantined))
+	m.quarantined.WithLabelValues(quarantine.Suspected.String()).Set(float64(len(records.Records) - quarantined))
 }
 
-// replacingRegisterer lets a voter that is opened again in the same process
-// register its collectors in the place of the former ones.
+// replacingRegisterer lets a voter that is reopened in the same process register its collectors
+// in place of the former ones.
 type replacingRegisterer struct{ prometheus.Registerer }
 
-// MustRegister registers collectors, each in the place of an equal one.
+// MustRegister registers collectors and replaces equal ones.
 func (r replacingRegisterer) MustRegister(collectors ...prometheus.Collector) {
 	for _, collector := range collectors {
 		err := r.Register(collector)
--- a/internal/directory/moving_test.go
+++ b/internal/directory/moving_test.go
@@ -8,15 +8,15 @@
 	"github.com/martenstage/martenstage/internal/proof/testaddress"
 )
 
-// restartAt starts a node that is down at another address, with its folder.
+// restartAt starts a stopped node at another address, with its folder.
 func (c *cluster) restartAt(index int, address string) {
 	c.t.Helper()
 	c.addresses[index] = address
 	c.start(index, false)
 }
 
-// keepsMembers fails if a node had to start over as a new member.
-func (c *cluster) keepsMembers() {
+// requireMembersKept fails if a node had to rejoin as a new member.
+func (c *cluster) requireMembersKept() {
 	c.t.Helper()
 	for _, logged := range c.logged {
 		for _, entry := range logged.AllEntries() {
@@ -25,45 +25,46 @@
 	}
 }
 
-// formedOfThree returns a group of three whose nodes know all of it.
-func formedOfThree(t *testing.T) *cluster {
-	c := wholeCluster(t)
-	c.everywhere("not three voters", c.hasVoters(0, 1, 2))
+// newClusterOfThreeVoters returns a group of three in which every node knows all voters.
+func newClusterOfThreeVoters(t *testing.T) *cluster {
+	c := newFormedCluster(t)
+	c.eventuallyEverywhere("not three voters", c.hasVoters(0, 1, 2))
 	return c
 }
 
-// TestNodeThatMovesKeepsItsVote guards against a node that changes its address, keeps its folder and
-// hears no leader any more: with another node down, the group could acknowledge nothing.
+// TestNodeThatMovesKeepsItsVote guards against a node that changes its address, keeps its
+// folder and no longer receives from the leader: with another node down, the group could not
+// acknowledge anything.
 func TestNodeThatMovesKeepsItsVote(t *testing.T) {
-	c := formedOfThree(t)
+	c := newClusterOfThreeVoters(t)
 	c.stop(2)
 	c.restartAt(2, testaddress.Next().String())
-	c.everywhere("not at its new address", c.hasVoters(0, 1, 2))
+	c.eventuallyEverywhere("not at its new address", c.hasVoters(0, 1, 2))
 	c.stop(0)
 	c.put(document(2, "by the one that moved"))
-	c.everywhere("not read", c.reads(document(2, "by the one that moved")))
-	c.keepsMembers()
+	c.eventuallyEverywhere("not read", c.reads(document(2, "by the one that moved")))
+	c.requireMembersKept()
 }
 
-// TestNodesThatSwapAddressesKeepTheirVotes guards against a node that is taken for one without its disk
-// because another member has got its address.
+// TestNodesThatSwapAddressesKeepTheirVotes guards against mistaking a node for one that lost
+// its disk because another member now has its address.
 func TestNodesThatSwapAddressesKeepTheirVotes(t *testing.T) {
-	c := formedOfThree(t)
+	c := newClusterOfThreeVoters(t)
 	first, second := c.addresses[1], c.addresses[2]
 	c.stop(1)
 	c.stop(2)
 	c.restartAt(1, second)
 	c.restartAt(2, first)
 	c.put(document(2, "swapped"))
-	c.everywhere("not at their new addresses", c.hasVoters(0, 1, 2))
-	c.everywhere("not read", c.reads(document(2, "swapped")))
-	c.keepsMembers()
+	c.eventuallyEverywhere("not at their new addresses", c.hasVoters(0, 1, 2))
+	c.eventuallyEverywhere("not read", c.reads(document(2, "swapped")))
+	c.requireMembersKept()
 }
 
-// TestGroupThatMovesWholeFormsAgain guards against nodes that all change their addresses and look for each
-// other at the former ones alone.
-func TestGroupThatMovesWholeFormsAgain(t *testing.T) {
-	c := formedOfThree(t)
+// TestGroupRecoversAfterAllNodesMove guards against nodes that all change their addresses and
+// try to reach each other only at the former ones.
+func TestGroupRecoversAfterAllNodesMove(t *testing.T) {
+	c := newClusterOfThreeVoters(t)
 	for index := range c.nodes {
 		c.stop(index)
 	}
@@ -73,7 +74,7 @@
 		c.restartAt(index, address)
 	}
 	c.put(document(2, "moved"))
-	c.everywhere("not read", c.reads(document(2, "moved")))
-	c.everywhere("not at their new addresses", c.hasVoters(0, 1, 2))
-	c.keepsMembers()
+	c.eventuallyEverywhere("not read", c.reads(document(2, "moved")))
+	c.eventuallyEverywhere("not at their new addresses", c.hasVoters(0, 1, 2))
+	c.requireMembersKept()
 }
--- a/internal/directory/node.go
+++ b/internal/directory/node.go
@@ -20,81 +20,84 @@
 	logger  logrus.FieldLogger
 	metrics *metrics
 	started time.Time
-	// source names this start of the node, so that a router can tell whose
+	// source identifies this start of the node, so that a router can tell which node's
 	// revisions it holds.
 	source string
 	seeds  atomic.Pointer[[]string]
 	member *memberHost
 	peers  *peerClient
-	// misdirected bounds the lines of calls that were meant for another group.
-	misdirected logging.LineLimit
-	// replacedLines bounds the lines of instances that others replaced.
-	replacedLines logging.LineLimit
-	packer        documentPacker
+	// misdirectedLogLimit limits the log lines about calls meant for another group.
+	misdirectedLogLimit logging.LineLimit
+	// replacedLogLimit limits the log lines about replaced instances.
+	replacedLogLimit logging.LineLimit
+	packer           documentPacker
 
 	mutex    sync.Mutex
 	registry *registry.Table
 	changed  chan struct{}
-	// fresh are servers whose change was reported to this node since the last
-	// share, beats those that only repeated themselves.
-	fresh   map[string]bool
-	beats   map[string]uint64
-	routers routerTable
-	summary summaryKeeper
-	// announcing says that routers are woken soon.
-	announcing bool
-	demand     demand
-	// doubts are what routers told this node since the last share.
-	doubts     []Doubt
-	candidates map[string]candidate
-	// told are the members that other nodes named to this one, which is none.
-	told []string
-	// refused holds ids that can't be members any more.
+	// changedServers are servers whose change was reported to this node since the last share,
+	// repeatedHeartbeats those that only repeated their heartbeat, by sequence.
+	changedServers     map[string]bool
+	repeatedHeartbeats map[string]uint64
+	routers            routerTable
+	summary            summaryCache
+	// notifyPending reports that a notification of the waiting routers is scheduled.
+	notifyPending bool
+	demand        demand
+	// suspectReports are the reports received from routers since the last share.
+	suspectReports []Doubt
+	candidates     map[string]candidate
+	// reportedMembers are the members that other nodes reported to this node while it is not a
+	// member.
+	reportedMembers []string
+	// refused holds ids that can no longer be members.
 	refused map[uint64]bool
-	// silentSince is when the leader last heard a member.
+	// silentSince is when the leader last received from a member that is silent.
 	silentSince map[uint64]time.Time
-	// settled says that the registry was taken over from another node, or that
-	// all servers had time to announce themselves.
+	// settled reports that the registry was copied from another node or that all servers had
+	// time to announce themselves.
 	settled bool
-	// metered are the tenants whose requests each need a token, as told last.
-	metered       Metered
+	// metered are the tenants whose requests each need a token, as last announced by the
+	// leader.
+	metered       MeteredTenants
 	meteredDigest uint64
-	quota         quotaKeeper
-	// reports are what routers observed of roll-outs.
-	reports   reportBook
-	confirmed atomic.Pointer[freshness]
-	// confirmNow has the state confirmed at once, renewed is closed once it was; stale says that
-	// it is out of date.
-	confirmNow chan struct{}
-	renewed    chan struct{}
-	stale      atomic.Bool
-	// lacking says that another node told of a server that this one does not know.
-	lacking bool
+	quota         leaderQuota
+	// rolloutReports are the observations that routers reported of rollouts.
+	rolloutReports reportTable
+	lastConfirmed  atomic.Pointer[freshness]
+	// confirmNow triggers an immediate confirmation of the state, freshnessRenewed is closed
+	// after a confirmation, and stale reports that the state is stale.
+	confirmNow       chan struct{}
+	freshnessRenewed chan struct{}
+	stale            atomic.Bool
+	// tableIncomplete reports that another node shared a heartbeat of a server unknown to this
+	// one.
+	tableIncomplete bool
 }
 
 // Open loads the identity and starts the voter.
 func Open(config Config, environment Environment) (*Node, error) {
 	node := &Node{
-		config:      config,
-		logger:      environment.Logger.WithField(logging.FieldNode, config.Name),
-		metrics:     newMetrics(environment.Registerer),
-		started:     steadyclock.Now(),
-		source:      config.Name + "/" + time.Now().Format(time.RFC3339Nano), // The wall clock: a person reads it.
-		peers:       newPeerClient(),
-		registry:    registry.New(missingHeartbeats*config.HeartbeatInterval, forgetAfter),
-		changed:     make(chan struct{}),
-		fresh:       make(map[string]bool),
-		beats:       make(map[string]uint64),
-		routers:     make(routerTable),
-		candidates:  make(map[string]candidate),
-		refused:     make(map[uint64]bool),
-		silentSince: make(map[uint64]time.Time),
-		reports:     make(reportBook),
-		confirmNow:  make(chan struct{}, 1),
-		renewed:     make(chan struct{}),
-		quota:       quotaKeeper{wake: make(chan struct{}, 1)},
+		config:             config,
+		logger:             environment.Logger.WithField(logging.FieldNode, config.Name),
+		metrics:            newMetrics(environment.Registerer),
+		started:            steadyclock.Now(),
+		source:             config.Name + "/" + time.Now().Format(time.RFC3339Nano), // Wall clock, since operators read it.
+		peers:              newPeerClient(),
+		registry:           registry.New(missingHeartbeats*config.HeartbeatInterval, forgetAfter),
+		changed:            make(chan struct{}),
+		changedServers:     make(map[string]bool),
+		repeatedHeartbeats: make(map[string]uint64),
+		routers:            make(routerTable),
+		candidates:         make(map[string]candidate),
+		refused:            make(map[uint64]bool),
+		silentSince:        make(map[uint64]time.Time),
+		rolloutReports:     make(reportTable),
+		confirmNow:         make(chan struct{}, 1),
+		freshnessRenewed:   make(chan struct{}),
+		quota:              leaderQuota{changed: make(chan struct{}, 1)},
 	}
-	node.registry.ClaimAtLeast(2 * beatShareInterval)
+	node.registry.ClaimAtLeast(2 * heartbeatShareInterval)
 	node.SetSeeds(config.Seeds)
 	member, err := openMember(config, environment, node.peers)
 	if err != nil {
@@ -111,24 +114,24 @@
 	n.seeds.Store(&copied)
 }
 
-// Run carries out the node's duties until the context ends, then hands
-// leadership over and closes the voter.
+// Run runs the node's background tasks until the context is canceled, then transfers leadership
+// and closes the voter.
 func (n *Node) Run(ctx context.Context) error {
-	var duties sync.WaitGroup
-	for _, duty := range []func(context.Context){
+	var tasks sync.WaitGroup
+	for _, task := range []func(context.Context){
 		n.runJoining, n.runFormation, n.runSharing, n.runReconciling, n.runDepartures, n.runRecovery, n.runTableFile, n.runQuarantine, n.runFreshness, n.runQuota, n.runRollouts, n.runStateWatch, n.runGroup,
 	} {
-		duties.Go(func() { duty(ctx) })
+		tasks.Go(func() { task(ctx) })
 	}
 	<-ctx.Done()
-	duties.Wait()
-	closing, cancel := context.WithTimeout(context.Background(), closeTimeout)
+	tasks.Wait()
+	closeCtx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	return n.member.close(closing)
+	return n.member.close(closeCtx)
 }
 
-// every calls a step at an interval until the context ends.
-func every(ctx context.Context, interval time.Duration, step func()) {
+// runEvery calls step at an interval until the context is canceled.
+func runEvery(ctx context.Context, interval time.Duration, step func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -141,10 +144,10 @@
 	}
 }
 
-// status returns the voter's state.
+// status returns the voter's status.
 func (n *Node) status() voter.Status { return n.member.voter().Status() }
 
-// Voters returns the peer addresses of the voters as this node knows them.
+// Voters returns the peer addresses of the voters known to this node.
 func (n *Node) Voters() map[string]bool {
 	voters := map[string]bool{}
 	for _, member := range n.status().Members {
@@ -155,21 +158,22 @@
 	return voters
 }
 
-// inGroup reports whether the node hears a leader, so that what it tells routers
-// is at most about an election timeout old.
+// inGroup reports whether the node has a leader, so that the state it reports to routers is at
+// most about one election timeout old.
 func (n *Node) inGroup() bool {
 	status := n.status()
 	return status.Leader != 0 && status.DiskError == nil
 }
 
-// peerAddresses returns the other nodes: members, or those that such named to a node that asks to
-// become one. Seeds are not among them, since the address of one may have passed to another group.
+// peerAddresses returns the other nodes: the members, or, for a node that is joining, those
+// reported by other nodes or remembered. Seeds are excluded, because a seed's address may now
+// belong to another group.
 func (n *Node) peerAddresses() []string {
 	var addresses []string
-	seen := map[string]bool{n.config.PeerAddress: true, "": true}
+	added := map[string]bool{n.config.PeerAddress: true, "": true}
 	add := func(address string) {
-		if !seen[address] {
-			seen[address] = true
+		if !added[address] {
+			added[address] = true
 			addresses = append(addresses, address)
 		}
 	}
@@ -179,31 +183,31 @@
 	if len(addresses) > 0 {
 		return addresses
 	}
-	for _, address := range n.accepting() {
+	for _, address := range n.joinableMembers() {
 		add(address)
 	}
 	if n.group() != 0 {
-		for _, address := range n.member.knownGroup() {
+		for _, address := range n.member.peerAddresses() {
 			add(address)
 		}
 	}
 	return addresses
 }
 
-// announce wakes the routers that wait for news. The caller holds the mutex.
-func (n *Node) announce() {
+// notifyRouters wakes the routers waiting for updates. The caller holds the mutex.
+func (n *Node) notifyRouters() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// runRecovery opens the voter again after its disk failed.
+// runRecovery reopens the voter after a disk failure.
 func (n *Node) runRecovery(ctx context.Context) {
-	every(ctx, reopenDelay, func() {
+	runEvery(ctx, reopenDelay, func() {
 		status := n.status()
 		if status.DiskError == nil {
 			return
 		}
-		n.logger.WithError(status.DiskError).Warn("disk_failed: the voter is opened again")
+		n.logger.WithError(status.DiskError).Warn("disk_failed: reopening the voter")
 		if err := n.member.reopen(); err != nil {
 			n.logger.WithError(err).Warn("voter_not_opened")
 			return
@@ -212,26 +216,29 @@
 	})
 }
 
-// announceGathering is for how long changes of servers and routers are put together until
-// routers are woken: each wakes all that wait here, and a start of all is thousands of them.
-const announceGathering = summaryLeast
+// notifyDelay is how long changes of servers and routers are batched before routers are
+// notified: each notification wakes all routers waiting here, and a start of the whole fleet
+// brings thousands of changes.
+const notifyDelay = summaryMinInterval
 
-// announceSoon wakes the routers that wait here, after a moment. The caller holds the mutex.
-func (n *Node) announceSoon() {
-	if n.announcing {
+// notifyRoutersSoon schedules a notification of the waiting routers after notifyDelay. The
+// caller holds the mutex.
+func (n *Node) notifyRoutersSoon() {
+	if n.notifyPending {
 		return
 	}
-	n.announcing = true
-	time.AfterFunc(announceGathering, func() {
+	n.notifyPending = true
+	time.AfterFunc(notifyDelay, func() {
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
-		n.announcing = false
-		n.announce()
+		n.notifyPending = false
+		n.notifyRouters()
 	})
 }
 
-// routersChanged takes in that the routers are others. The caller holds the mutex.
-func (n *Node) routersChanged() {
-	n.summary.change()
-	n.announceSoon()
+// markRoutersChanged invalidates the router summary and schedules a notification. The caller
+// holds the mutex.
+func (n *Node) markRoutersChanged() {
+	n.summary.invalidate()
+	n.notifyRoutersSoon()
 }
--- a/internal/directory/node_test.go
+++ b/internal/directory/node_test.go
@@ -17,9 +17,9 @@
 func TestSeedsFormAGroupThatOthersJoin(t *testing.T) {
 	c := newCluster(t, 5)
 	c.startAll(true)
-	c.everywhere("not five voters", c.hasVoters(0, 1, 2, 3, 4))
+	c.eventuallyEverywhere("not five voters", c.hasVoters(0, 1, 2, 3, 4))
 	c.put(document(1, "first"))
-	c.everywhere("not read", c.reads(document(1, "first")))
+	c.eventuallyEverywhere("not read", c.reads(document(1, "first")))
 }
 
 func TestHighestVersionWins(t *testing.T) {
@@ -28,7 +28,7 @@
 	node := c.nodes[0]
 	c.put(document(5, "five"))
 	ctx := context.Background()
-	require.NoError(t, node.Put(ctx, document(5, "five")), "sent again")
+	require.NoError(t, node.Put(ctx, document(5, "five")), "repeated")
 	require.NoError(t, node.Put(ctx, document(5, "other content under the held version")))
 	require.NoError(t, node.Put(ctx, document(3, "an older one arrives once more")))
 	_, text, err := node.Read(ctx)
@@ -47,7 +47,7 @@
 	c := newCluster(t, 5)
 	c.startAll(true)
 	c.put(document(1, "first"))
-	c.everywhere("not five voters", c.hasVoters(0, 1, 2, 3, 4))
+	c.eventuallyEverywhere("not five voters", c.hasVoters(0, 1, 2, 3, 4))
 	c.put(document(2, "kept"))
 	for index := range c.nodes {
 		c.stop(index)
@@ -55,38 +55,38 @@
 	c.wipe(0)
 	c.wipe(1)
 	c.startAll(false)
-	c.everywhere("lost", c.reads(document(2, "kept")))
-	c.everywhere("the wiped nodes are no voters again", c.hasVoters(0, 1, 2, 3, 4))
+	c.eventuallyEverywhere("lost", c.reads(document(2, "kept")))
+	c.eventuallyEverywhere("the wiped nodes are not voters again", c.hasVoters(0, 1, 2, 3, 4))
 }
 
-func TestNodeAtAnotherAddressTakesThePlaceOfOneThatIsGone(t *testing.T) {
+func TestNodeAtAnotherAddressReplacesAFailedVoter(t *testing.T) {
 	c := newCluster(t, 6)
 	for index := range 5 {
 		c.start(index, true)
 	}
-	c.everywhere("not five voters", c.hasVoters(0, 1, 2, 3, 4))
+	c.eventuallyEverywhere("not five voters", c.hasVoters(0, 1, 2, 3, 4))
 	c.put(document(1, "kept"))
 	c.stop(0)
 	c.start(5, false)
-	c.everywhere("not replaced", c.hasVoters(1, 2, 3, 4, 5))
-	c.everywhere("not read", c.reads(document(1, "kept")))
+	c.eventuallyEverywhere("not replaced", c.hasVoters(1, 2, 3, 4, 5))
+	c.eventuallyEverywhere("not read", c.reads(document(1, "kept")))
 
-	// The one that was replaced returns, and is told so.
+	// The replaced node returns, and learns that it was removed.
 	c.start(0, false)
 	c.stop(1)
-	c.everywhere("did not join again", c.hasVoters(0, 2, 3, 4, 5))
-	c.everywhere("not read", c.reads(document(1, "kept")))
+	c.eventuallyEverywhere("did not rejoin", c.hasVoters(0, 2, 3, 4, 5))
+	c.eventuallyEverywhere("not read", c.reads(document(1, "kept")))
 }
 
 func TestMinorityNeitherAcknowledgesNorReads(t *testing.T) {
 	c := newCluster(t, 5)
 	c.startAll(true)
-	c.everywhere("not five voters", c.hasVoters(0, 1, 2, 3, 4))
+	c.eventuallyEverywhere("not five voters", c.hasVoters(0, 1, 2, 3, 4))
 	c.put(document(1, "kept"))
 	for index := range 3 {
 		c.stop(index)
 	}
-	c.everywhere("a leader without a quorum goes on", func(node *runningNode) bool {
+	c.eventuallyEverywhere("a leader without a quorum still answers", func(node *runningNode) bool {
 		_, _, err := node.Read(context.Background())
 		return err != nil
 	})
@@ -94,7 +94,7 @@
 	require.ErrorIs(t, c.nodes[3].Put(ctx, document(2, "not taken")), directory.ErrUnavailable)
 	require.ErrorIs(t, c.nodes[4].Heartbeat(ctx, instance("i1", "s", registry.Leaving, 2)), directory.ErrUnavailable)
 	require.NoError(t, c.nodes[4].Heartbeat(ctx, instance("i2", "s", registry.Ready, 2)))
-	c.everywhere("routers are told what may be old", func(node *runningNode) bool {
+	c.eventuallyEverywhere("routers get possibly stale state", func(node *runningNode) bool {
 		_, err := node.Follow(ctx, directory.FollowRequest{Router: directory.Router{Name: "test"}})
 		return err != nil
 	})
@@ -105,13 +105,13 @@
 	c.startAll(true)
 	ctx := context.Background()
 	require.NoError(t, c.nodes[0].Heartbeat(ctx, instance("i1", "s", registry.Ready, 1)))
-	c.everywhere("not known", func(node *runningNode) bool { return stateAt(node, "i1") == registry.Ready })
+	c.eventuallyEverywhere("not known", func(node *runningNode) bool { return stateAt(node, "i1") == registry.Ready })
 	c.eventually("leaving is not acknowledged", func(node *runningNode) bool {
 		return node.Heartbeat(ctx, instance("i1", "s", registry.Leaving, 2)) == nil
 	})
-	c.everywhere("leaving is not known", func(node *runningNode) bool { return stateAt(node, "i1") == registry.Leaving })
+	c.eventuallyEverywhere("leaving is not known", func(node *runningNode) bool { return stateAt(node, "i1") == registry.Leaving })
 	require.NoError(t, c.nodes[1].Heartbeat(ctx, instance("i1", "s", registry.Ready, 9)))
-	require.Equal(t, registry.Leaving, stateAt(c.nodes[1], "i1"), "leaving was taken back")
+	require.Equal(t, registry.Leaving, stateAt(c.nodes[1], "i1"), "leaving was reverted")
 }
 
 func TestDeparturesAndServersSurviveARestartOfAll(t *testing.T) {
@@ -122,21 +122,21 @@
 	require.NoError(t, c.nodes[0].Heartbeat(ctx, instance("i1", "s", registry.Ready, 1)))
 	require.NoError(t, c.nodes[0].Heartbeat(ctx, instance("i2", "s", registry.Ready, 1)))
 	c.eventually("not acknowledged", func(node *runningNode) bool { return node.Depart(ctx, "i2", 0) == nil })
-	c.everywhere("not known", func(node *runningNode) bool { return stateAt(node, "i1") == registry.Ready })
-	// The table is written a little later.
+	c.eventuallyEverywhere("not known", func(node *runningNode) bool { return stateAt(node, "i1") == registry.Ready })
+	// The table is written with a delay.
 	time.Sleep(time.Second)
 	for index := range c.nodes {
 		c.stop(index)
 	}
 	c.startAll(false)
-	c.everywhere("a server is forgotten", func(node *runningNode) bool { return stateAt(node, "i1") == registry.Ready })
-	c.everywhere("a departure is forgotten", func(node *runningNode) bool {
+	c.eventuallyEverywhere("a server is lost", func(node *runningNode) bool { return stateAt(node, "i1") == registry.Ready })
+	c.eventuallyEverywhere("a departure is lost", func(node *runningNode) bool {
 		reply, err := node.Follow(ctx, directory.FollowRequest{Router: directory.Router{Name: "test"}})
 		return err == nil && len(reply.Departed) == 1 && reply.Departed[0] == "i2"
 	})
 }
 
-func TestFollowTellsNewsAndNothingTwice(t *testing.T) {
+func TestFollowReturnsOnlyChanges(t *testing.T) {
 	c := newCluster(t, 1)
 	c.startAll(true)
 	ctx := context.Background()
@@ -150,42 +150,43 @@
 		Router: directory.Router{Name: "g"}, Version: first.Version, Source: first.Source, Revision: first.Revision, Departures: first.Departures, Routers: first.RoutersDigest,
 		Wait: 100 * time.Millisecond,
 	}
-	quiet, err := node.Follow(ctx, known)
+	unchanged, err := node.Follow(ctx, known)
 	require.NoError(t, err)
-	require.Zero(t, quiet.Version)
-	require.Empty(t, quiet.Instances)
+	require.Zero(t, unchanged.Version)
+	require.Empty(t, unchanged.Instances)
 	require.NoError(t, node.Heartbeat(ctx, instance("i1", "s", registry.Ready, 1)))
-	news, err := node.Follow(ctx, known)
+	update, err := node.Follow(ctx, known)
 	require.NoError(t, err)
-	require.Len(t, news.Instances, 1)
-	require.False(t, news.Whole)
+	require.Len(t, update.Instances, 1)
+	require.False(t, update.Whole)
 }
 
-// TestServerThatWasToldInACutIsKnownAfterIt has a node miss what another one told of a
-// server: it knows the server soon after the other one tells that it repeated itself.
-func TestServerThatWasToldInACutIsKnownAfterIt(t *testing.T) {
+// TestServerReportedDuringAPartitionIsKnownAfterIt checks that a node that missed another
+// node's message about a server learns of the server soon after the other node shares its next
+// heartbeat.
+func TestServerReportedDuringAPartitionIsKnownAfterIt(t *testing.T) {
 	c := newCluster(t, 3)
 	c.startAll(true)
 	c.put(document(1, "a"))
-	c.everywhere("the servers are not settled", func(node *runningNode) bool {
+	c.eventuallyEverywhere("the servers are not settled", func(node *runningNode) bool {
 		reply, err := node.Follow(context.Background(), directory.FollowRequest{Router: directory.Router{Name: "test"}})
 		return err == nil && reply.Settled
 	})
-	deaf := c.nodes[2]
-	require.NoError(t, deaf.server.Close())
+	isolated := c.nodes[2]
+	require.NoError(t, isolated.server.Close())
 	ctx := context.Background()
 	require.NoError(t, c.nodes[0].Heartbeat(ctx, instance("i1", "s", registry.Ready, 1)))
-	c.eventually("the server is told of nowhere", func(node *runningNode) bool {
+	c.eventually("no other node knows the server", func(node *runningNode) bool {
 		return node == c.nodes[1] && stateAt(node, "i1") == registry.Ready
 	})
 	listener, err := net.Listen("tcp4", c.addresses[2])
 	require.NoError(t, err)
-	deaf.server = &http.Server{Handler: deaf.PeerHandler()}
-	go func() { _ = deaf.server.Serve(listener) }()
+	isolated.server = &http.Server{Handler: isolated.PeerHandler()}
+	go func() { _ = isolated.server.Serve(listener) }()
 	sequence := uint64(1)
-	c.eventually("the server is not known after the cut", func(node *runningNode) bool {
+	c.eventually("the server is not known after the partition", func(node *runningNode) bool {
 		sequence++
 		require.NoError(t, c.nodes[0].Heartbeat(ctx, instance("i1", "s", registry.Ready, sequence)))
-		return node == deaf && stateAt(node, "i1") == registry.Ready
+		return node == isolated && stateAt(node, "i1") == registry.Ready
 	})
 }
--- a/internal/directory/operations.go
+++ b/internal/directory/operations.go
@@ -13,32 +13,31 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// Put takes a routing document. Nil means that a quorum has synced it, or that a
-// version at least as high is in force already. Other outcomes are
-// *routing.InvalidError (nothing was changed) and ErrUnavailable (it may be in
-// force, now or later).
+// Put stores a routing document. Nil means that a quorum has synced it, or that a version at
+// least as high is already in effect. Other outcomes are *routing.InvalidError (nothing was
+// changed) and ErrUnavailable (it may be in effect, now or later).
 func (n *Node) Put(ctx context.Context, text []byte) error {
-	began := steadyclock.Now()
+	start := steadyclock.Now()
 	version, err := n.config.CheckDocument(text)
 	if err == nil {
 		message := putMessage{Version: version, Text: text}
-		err = n.atLeader(ctx, func(ctx context.Context) error { return n.putHere(ctx, message) }, pathPut, message, nil)
+		err = n.onLeader(ctx, func(ctx context.Context) error { return n.putAsLeader(ctx, message) }, pathPut, message, nil)
 	}
-	n.record("put", began, err, logrus.Fields{"version": version, "bytes": len(text)})
+	n.recordOperation("put", start, err, logrus.Fields{"version": version, "bytes": len(text)})
 	return err
 }
 
-// putHere is Put at the leader.
-func (n *Node) putHere(ctx context.Context, message putMessage) error {
-	if held, _, _ := n.member.state().document(); held >= message.Version {
-		// What is held here may be newer than what a quorum has; only a confirmed
-		// read proves that it is committed.
+// putAsLeader is Put at the leader.
+func (n *Node) putAsLeader(ctx context.Context, message putMessage) error {
+	if current, _, _ := n.member.state().document(); current >= message.Version {
+		// The local version may be newer than what a quorum has; only a confirmed read proves
+		// that it is committed.
 		return n.confirm(ctx)
 	}
 	if !n.mayAcknowledge() {
 		return errNotFormed
 	}
-	n.beginLedger(ctx)
+	n.loadLedgerLimits(ctx)
 	_, err := n.propose(ctx, command{Version: message.Version, Document: message.Text})
 	return err
 }
@@ -46,30 +45,30 @@
 // errNotFormed is an ErrUnavailable.
 var errNotFormed = errors.Wrap(ErrUnavailable, "the group has not reached its size")
 
-// mayAcknowledge reports whether what a quorum has synced survives the losses
-// that are to be borne: not before the group had its full size once. A group
-// that does not reach it in time goes on, since fewer nodes may be all there is.
+// mayAcknowledge reports whether an entry synced by a quorum survives the tolerated losses,
+// which requires that the group once had its full size. A group that does not reach it within
+// formationTimeout proceeds anyway, since there may be no more nodes.
 func (n *Node) mayAcknowledge() bool {
 	if n.member.state().formed() {
 		return true
 	}
-	return steadyclock.Since(n.started) > formingPatience
+	return steadyclock.Since(n.started) > formationTimeout
 }
 
-// Read returns the document in force and its version, confirmed by a quorum
-// after the call began; version 0 means none. It fails with ErrUnavailable.
+// Read returns the document in effect and its version, confirmed by a quorum after the call
+// began; version 0 means none. It fails with ErrUnavailable.
 func (n *Node) Read(ctx context.Context) (version uint64, text []byte, err error) {
-	began := steadyclock.Now()
+	start := steadyclock.Now()
 	var reply readReply
-	err = n.atLeader(ctx, func(ctx context.Context) error {
-		reply, err = n.readHere(ctx)
+	err = n.onLeader(ctx, func(ctx context.Context) error {
+		reply, err = n.readAsLeader(ctx)
 		return err
 	}, pathRead, struct{}{}, &reply)
-	n.record("read", began, err, logrus.Fields{"version": reply.Version})
+	n.recordOperation("read", start, err, logrus.Fields{"version": reply.Version})
 	return reply.Version, reply.Text, err
 }
 
-func (n *Node) readHere(ctx context.Context) (readReply, error) {
+func (n *Node) readAsLeader(ctx context.Context) (readReply, error) {
 	if err := n.confirm(ctx); err != nil {
 		return readReply{}, err
 	}
@@ -77,19 +76,19 @@
 	return readReply{Version: version, Text: text}, nil
 }
 
-// propose replicates a command and returns what applying it gave.
-func (n *Node) propose(ctx context.Context, proposed command) (putResult, error) {
+// propose replicates a command and returns the result of applying it.
+func (n *Node) propose(ctx context.Context, proposed command) (applyResult, error) {
 	data, err := json.Marshal(proposed)
 	if err != nil {
-		return putResult{}, err
+		return applyResult{}, err
 	}
 	applied, err := n.member.voter().Propose(ctx, data)
 	if err != nil {
-		return putResult{}, errors.Wrapf(ErrUnavailable, "%v", err)
+		return applyResult{}, errors.Wrapf(ErrUnavailable, "%v", err)
 	}
-	result, ok := applied.(putResult)
+	result, ok := applied.(applyResult)
 	if !ok {
-		return putResult{}, errors.Wrapf(ErrUnavailable, "%v", applied)
+		return applyResult{}, errors.Wrapf(ErrUnavailable, "%v", applied)
 	}
 	return result, nil
 }
@@ -99,7 +98,7 @@
 	return err
 }
 
-// confirmIndex returns, at the leader, up to which index the log is committed for certain;
+// confirmIndex returns, at the leader, the index up to which the log is confirmed as committed;
 // this node has applied it.
 func (n *Node) confirmIndex(ctx context.Context) (uint64, error) {
 	index, err := n.member.voter().ConfirmRead(ctx)
@@ -109,17 +108,17 @@
 	return index, nil
 }
 
-// atLeader runs an operation here if this node leads, else at the leader, within
-// operationTimeout. It waits a while for a leader to be known.
-func (n *Node) atLeader(
-	ctx context.Context, here func(context.Context) error, path string, message, reply any,
+// onLeader runs an operation locally if this node leads, otherwise at the leader, within
+// operationTimeout. It waits for a leader to become known.
+func (n *Node) onLeader(
+	ctx context.Context, local func(context.Context) error, path string, message, reply any,
 ) error {
 	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	for {
 		status := n.status()
 		if status.Role == consensus.Leader {
-			return here(ctx)
+			return local(ctx)
 		}
 		if status.Leader != 0 && status.LeaderAddress != "" {
 			return n.peers.call(ctx, status.LeaderAddress, path, message, reply)
@@ -132,8 +131,8 @@
 	}
 }
 
-// record counts and logs one operation.
-func (n *Node) record(operation string, began time.Time, err error, fields logrus.Fields) {
+// recordOperation counts and logs one operation.
+func (n *Node) recordOperation(operation string, start time.Time, err error, fields logrus.Fields) {
 	outcome := "done"
 	var invalid *routing.InvalidError
 	switch {
@@ -142,12 +141,12 @@
 	case err != nil:
 		outcome = "unavailable"
 	}
-	took := steadyclock.Since(began)
+	elapsed := steadyclock.Since(start)
 	n.metrics.operations.WithLabelValues(operation, outcome).Inc()
-	n.metrics.seconds.WithLabelValues(operation).Observe(took.Seconds())
+	n.metrics.seconds.WithLabelValues(operation).Observe(elapsed.Seconds())
 	status := n.status()
 	entry := n.logger.WithFields(fields).WithFields(logrus.Fields{
-		"outcome": outcome, "took": took, "leader": status.Leader, "term": status.Term,
+		"outcome": outcome, "took": elapsed, "leader": status.Leader, "term": status.Term,
 	})
 	if err != nil {
 		entry.WithField(logrus.ErrorKey, err).Warn(operation)
--- a/internal/directory/peer_client.go
+++ b/internal/directory/peer_client.go
@@ -18,15 +18,15 @@
 	"github.com/martenstage/martenstage/internal/voter"
 )
 
-// Bounds of calls between nodes.
+// Limits of calls between nodes.
 const (
 	peerDialTimeout  = 400 * time.Millisecond
 	deliverTimeout   = 500 * time.Millisecond
 	deliverBytesRate = 10 << 20 // bytes per second
 	deliverCallBytes = 1 << 20
-	// peerSilence is how long bytes that were sent to a node may stay unacknowledged by its
-	// machine before the connection ends.
-	peerSilence       = time.Second
+	// peerAckTimeout is how long sent bytes may remain unacknowledged by the peer's host before
+	// the connection is closed.
+	peerAckTimeout    = time.Second
 	peerIdlePerHost   = 8
 	maxPeerReplyBytes = 64 << 20
 )
@@ -34,21 +34,21 @@
 // peerClient calls other nodes.
 type peerClient struct {
 	http *http.Client
-	// group is that of this node; operators have none.
-	group knownGroup
+	// group is the group of this node; operators have none.
+	group groupHolder
 }
 
 var _ voter.Transport = (*peerClient)(nil)
 
 func newPeerClient() *peerClient {
-	dialer := &net.Dialer{Timeout: peerDialTimeout, KeepAlive: -1, Control: liveness.Bound(peerSilence)}
+	dialer := &net.Dialer{Timeout: peerDialTimeout, KeepAlive: -1, Control: liveness.Bound(peerAckTimeout)}
 	return &peerClient{http: &http.Client{Transport: &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: peerIdlePerHost, DisableCompression: true,
 	}}}
 }
 
-// Send delivers consensus messages in order. A failure loses the rest of them,
-// which the protocol allows for.
+// Send delivers consensus messages in order. On a failure the remaining ones are lost, which
+// the protocol tolerates.
 func (c *peerClient) Send(_ uint64, address string, messages [][]byte) {
 	for len(messages) > 0 {
 		count, size := 0, 0
@@ -71,42 +71,42 @@
 	return err == nil
 }
 
-// call posts a message as JSON and reads the reply into reply, unless nil.
-// Errors are ErrUnavailable or *routing.InvalidError.
+// call posts a message as JSON and decodes the reply into reply, unless that is nil. Errors are
+// ErrUnavailable or *routing.InvalidError.
 func (c *peerClient) call(ctx context.Context, address, path string, message, reply any) error {
 	body, err := json.Marshal(message)
 	if err != nil {
 		return err
 	}
-	answer, err := c.post(ctx, address, path, body)
+	replyBody, err := c.post(ctx, address, path, body)
 	if err != nil || reply == nil {
 		return err
 	}
-	if err := json.Unmarshal(answer, reply); err != nil {
+	if err := json.Unmarshal(replyBody, reply); err != nil {
 		return errors.Wrapf(ErrUnavailable, "reply of %s: %v", address, err)
 	}
 	return nil
 }
 
-// sharedBody is a message that goes to several nodes, encoded and perhaps compressed.
+// sharedBody is an encoded, possibly compressed message for several nodes.
 type sharedBody struct {
 	bytes      []byte
 	compressed bool
 }
 
-// encodeShared encodes a message once for all receivers, compressed if it is long: the
-// heartbeats of some thousand servers, of which each node tells its own every second, take a
-// third of the bytes then (TestSharedHeartbeatsAreSmall).
+// encodeShared encodes a message once for all receivers and compresses long ones. Each node
+// shares the heartbeats of its servers every second; for some thousand servers, compression
+// reduces them to a third of the bytes (TestSharedHeartbeatsAreSmall).
 func encodeShared(message any) (sharedBody, error) {
 	plain, err := json.Marshal(message)
-	if err != nil || len(plain) < compressFrom {
+	if err != nil || len(plain) < compressMinBytes {
 		return sharedBody{bytes: plain}, err
 	}
-	packed, err := PackDocument(plain)
-	return sharedBody{bytes: packed, compressed: true}, err
+	compressed, err := PackDocument(plain)
+	return sharedBody{bytes: compressed, compressed: true}, err
 }
 
-// send posts an encoded message whose reply says nothing.
+// send posts an encoded message whose reply is empty.
 func (c *peerClient) send(ctx context.Context, address, path string, body sharedBody) error {
 	request, err := newPeerRequest(ctx, address, path, body.bytes)
 	if err != nil {
@@ -142,14 +142,14 @@
 	if err := addressee.Check(response, expected, false); err != nil {
 		return nil, errors.Wrapf(ErrUnavailable, "%s: %v", address, err)
 	}
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxPeerReplyBytes))
+	replyBody, err := io.ReadAll(io.LimitReader(response.Body, maxPeerReplyBytes))
 	switch {
 	case err != nil:
 		return nil, errors.Wrapf(ErrUnavailable, "reply of %s: %v", address, err)
 	case response.StatusCode == http.StatusUnprocessableEntity:
-		return nil, &routing.InvalidError{Detail: string(answer)}
+		return nil, &routing.InvalidError{Detail: string(replyBody)}
 	case response.StatusCode != http.StatusOK:
-		return nil, &refusedError{detail: fmt.Sprintf("%s says %d %s", address, response.StatusCode, bytes.TrimSpace(answer))}
+		return nil, &refusedError{detail: fmt.Sprintf("%s answered %d %s", address, response.StatusCode, bytes.TrimSpace(replyBody))}
 	}
-	return answer, nil
+	return replyBody, nil
 }
--- a/internal/directory/peer_server.go
+++ b/internal/directory/peer_server.go
@@ -14,15 +14,15 @@
 	"github.com/martenstage/martenstage/internal/routing"
 )
 
-// compressFrom is from how many bytes on news for routers travel compressed: the whole
-// tables of servers and routers, which hundreds of routers ask for at once.
-const compressFrom = 2 << 10
+// compressMinBytes is the size from which updates for routers are compressed: these are
+// complete tables of servers and routers, which hundreds of routers fetch at once.
+const compressMinBytes = 2 << 10
 
-// compressed lets a handler's long replies be compressed, if the caller takes that.
+// compressed compresses a handler's long replies if the caller accepts that.
 func compressed(handler http.Handler) http.Handler {
-	wrap, err := gzhttp.NewWrapper(gzhttp.MinSize(compressFrom), gzhttp.CompressionLevel(gzip.BestSpeed))
+	wrap, err := gzhttp.NewWrapper(gzhttp.MinSize(compressMinBytes), gzhttp.CompressionLevel(gzip.BestSpeed))
 	if err != nil {
-		panic(errors.Wrap(err, "the options of compression are constants"))
+		panic(errors.Wrap(err, "invalid compression options"))
 	}
 	return wrap(handler)
 }
@@ -31,49 +31,51 @@
 func (n *Node) PeerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(pathDeliver, n.serveDeliver)
-	mux.Handle(pathJoin, handle(func(_ context.Context, request joinRequest) (joinReply, error) { return n.joined(request) }))
+	mux.Handle(pathJoin, handle(func(_ context.Context, request joinRequest) (joinReply, error) { return n.handleJoin(request) }))
 	mux.Handle(pathShare, handle(func(_ context.Context, message shareMessage) (struct{}, error) {
-		n.takeIn(message)
+		n.mergeShare(message)
 		return struct{}{}, nil
 	}))
 	mux.Handle(pathRegistry, handle(func(_ context.Context, known tablePosition) (tableReply, error) {
-		return n.table(known), nil
+		return n.tableSince(known), nil
 	}))
 	mux.Handle(pathPut, handle(func(ctx context.Context, message putMessage) (struct{}, error) {
-		return struct{}{}, n.putHere(ctx, message)
+		return struct{}{}, n.putAsLeader(ctx, message)
 	}))
 	mux.Handle(pathDepart, handle(func(ctx context.Context, message departMessage) (struct{}, error) {
-		return struct{}{}, n.departHere(ctx, message)
+		return struct{}{}, n.departAsLeader(ctx, message)
+	}))
+	mux.Handle(pathKnownStarts, handle(func(_ context.Context, request startsRequest) (startsReply, error) {
+		return n.knownStarts(request), nil
 	}))
-	mux.Handle(pathHeard, handle(func(_ context.Context, asked heardRequest) (heardReply, error) { return n.heard(asked), nil }))
 	mux.Handle(pathEvacuate, handle(func(ctx context.Context, order evacuationOrder) (struct{}, error) {
-		return struct{}{}, n.evacuateHere(ctx, order)
+		return struct{}{}, n.evacuateAsLeader(ctx, order)
 	}))
 	mux.Handle(pathEvacuations, handle(func(context.Context, struct{}) (EvacuationList, error) { return n.Evacuations(), nil }))
-	mux.Handle(pathQuarantineLeader, handle(n.quarantineHere))
+	mux.Handle(pathQuarantineLeader, handle(n.quarantineAsLeader))
 	mux.Handle(PathQuarantine, handle(n.Quarantine))
 	mux.Handle(pathQuarantineList, handle(func(context.Context, struct{}) (quarantine.Book, error) { return n.QuarantineList(), nil }))
-	mux.Handle(pathConfirm, handle(func(ctx context.Context, _ struct{}) (confirmReply, error) { return n.confirmHere(ctx) }))
-	mux.Handle(pathQuotaLeader, handle(n.quotaHere))
+	mux.Handle(pathConfirm, handle(func(ctx context.Context, _ struct{}) (confirmReply, error) { return n.confirmAsLeader(ctx) }))
+	mux.Handle(pathQuotaLeader, handle(n.quotaAsLeader))
 	mux.Handle(PathQuota, handle(n.Quota))
-	mux.Handle(pathMetered, handle(func(_ context.Context, told Metered) (struct{}, error) {
-		n.takeMetered(told)
+	mux.Handle(pathMetered, handle(func(_ context.Context, metered MeteredTenants) (struct{}, error) {
+		n.applyMetered(metered)
 		return struct{}{}, nil
 	}))
-	mux.Handle(pathTenantsLeader, handle(n.tenantsHere))
+	mux.Handle(pathTenantsLeader, handle(n.tenantsAsLeader))
 	mux.Handle(pathTenants, handle(func(ctx context.Context, _ struct{}) (TenantList, error) { return n.Tenants(ctx) }))
-	mux.Handle(pathRolloutStart, handle(n.startHere))
-	mux.Handle(pathRolloutRead, handle(n.rolloutsConfirmed))
-	mux.Handle(pathRolloutReport, handle(n.reportHere))
+	mux.Handle(pathRolloutStart, handle(n.startRolloutAsLeader))
+	mux.Handle(pathRolloutRead, handle(n.confirmedRollouts))
+	mux.Handle(pathRolloutReport, handle(n.reportRolloutsAsLeader))
 	mux.Handle(PathRollouts, handle(n.ReportRollouts))
-	mux.Handle(pathRolloutList, handle(func(ctx context.Context, _ struct{}) (RolloutList, error) { return n.rolloutsAtLeader(ctx) }))
-	mux.Handle(pathRead, handle(func(ctx context.Context, _ struct{}) (readReply, error) { return n.readHere(ctx) }))
-	mux.Handle(PathDoubt, handle(func(_ context.Context, told Doubt) (struct{}, error) {
-		n.doubtRouters(told)
+	mux.Handle(pathRolloutList, handle(func(ctx context.Context, _ struct{}) (RolloutList, error) { return n.rolloutsFromLeader(ctx) }))
+	mux.Handle(pathRead, handle(func(ctx context.Context, _ struct{}) (readReply, error) { return n.readAsLeader(ctx) }))
+	mux.Handle(PathDoubt, handle(func(_ context.Context, report Doubt) (struct{}, error) {
+		n.suspectRouters(report)
 		return struct{}{}, nil
 	}))
 	mux.Handle(PathFollow, compressed(handle(n.Follow)))
-	return n.refuseOthers(mux)
+	return n.rejectOtherGroups(mux)
 }
 
 func (n *Node) serveDeliver(writer http.ResponseWriter, request *http.Request) {
@@ -94,7 +96,7 @@
 func handle[Request, Reply any](serve func(context.Context, Request) (Reply, error)) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		var decoded Request
-		body, err := bodyOf(writer, request)
+		body, err := requestBody(writer, request)
 		if err == nil {
 			err = json.NewDecoder(body).Decode(&decoded)
 		}
@@ -106,7 +108,7 @@
 		defer cancel()
 		reply, err := serve(ctx, decoded)
 		if err != nil {
-			http.Error(writer, detail(err), statusOf(err))
+			http.Error(writer, errorDetail(err), statusOf(err))
 			return
 		}
 		writer.Header().Set("Content-Type", "application/json")
@@ -117,8 +119,8 @@
 // encodingGzip marks a compressed message.
 const encodingGzip = "gzip"
 
-// bodyOf returns the message of a call, of bounded length.
-func bodyOf(writer http.ResponseWriter, request *http.Request) (io.Reader, error) {
+// requestBody returns the message of a call, of bounded length.
+func requestBody(writer http.ResponseWriter, request *http.Request) (io.Reader, error) {
 	body := http.MaxBytesReader(writer, request.Body, maxPeerReplyBytes)
 	if request.Header.Get("Content-Encoding") != encodingGzip {
 		return body, nil
@@ -138,8 +140,8 @@
 	return http.StatusServiceUnavailable
 }
 
-// detail returns what the other side builds the error from again.
-func detail(err error) string {
+// errorDetail returns the text from which the caller rebuilds the error.
+func errorDetail(err error) string {
 	var invalid *routing.InvalidError
 	if errors.As(err, &invalid) {
 		return invalid.Detail
--- a/internal/directory/quarantine_age_test.go
+++ b/internal/directory/quarantine_age_test.go
@@ -10,16 +10,16 @@
 	"github.com/martenstage/martenstage/internal/quarantine"
 )
 
-// TestStandingsEndByTheirAgeAtTheLeader has one record of each standing grow old; a change
-// of the standing begins its age anew.
-func TestStandingsEndByTheirAgeAtTheLeader(t *testing.T) {
+// TestStandingsExpireAtTheLeader ages one record of each standing; a change of the standing
+// restarts its age.
+func TestStandingsExpireAtTheLeader(t *testing.T) {
 	suspected := quarantine.Record{Fingerprint: quarantine.Fingerprint{1}}
 	quarantined := quarantine.Record{Fingerprint: quarantine.Fingerprint{2}, Quarantined: true}
 	records := []quarantine.Record{suspected, quarantined}
 	start := time.Unix(1000, 0)
 	ages := quarantineAges{}
 	expired := func(after time.Duration) []quarantine.Fingerprint {
-		return lo.Map(ages.due(start.Add(after), records), func(o quarantine.Order, _ int) quarantine.Fingerprint {
+		return lo.Map(ages.expired(start.Add(after), records), func(o quarantine.Order, _ int) quarantine.Fingerprint {
 			require.Equal(t, quarantine.Expire, o.Kind)
 			return o.Fingerprint
 		})
--- a/internal/directory/quarantine_test.go
+++ b/internal/directory/quarantine_test.go
@@ -12,14 +12,14 @@
 	"github.com/martenstage/martenstage/internal/routing"
 )
 
-func endsServers(target string) quarantine.Fingerprint {
+func fingerprintOf(target string) quarantine.Fingerprint {
 	return quarantine.FingerprintOf(&message.Request{Method: "GET", Target: target})
 }
 
-// give gives orders until some node has carried them out.
-func (c *cluster) give(orders ...quarantine.Order) (reply directory.QuarantineReply) {
+// sendOrders sends orders until some node has applied them.
+func (c *cluster) sendOrders(orders ...quarantine.Order) (reply directory.QuarantineReply) {
 	c.t.Helper()
-	c.eventually("no node takes the orders", func(node *runningNode) bool {
+	c.eventually("no node applies the orders", func(node *runningNode) bool {
 		var err error
 		reply, err = node.Quarantine(context.Background(), directory.QuarantineOrders{Orders: orders})
 		return err == nil
@@ -27,8 +27,8 @@
 	return reply
 }
 
-// knows reports whether a router that follows a node is told of a request's standing.
-func knows(fingerprint quarantine.Fingerprint, standing quarantine.Standing) func(*runningNode) bool {
+// hasStanding reports whether a node reports a request's standing to a router.
+func hasStanding(fingerprint quarantine.Fingerprint, standing quarantine.Standing) func(*runningNode) bool {
 	return func(node *runningNode) bool {
 		reply, err := node.Follow(context.Background(), directory.FollowRequest{Router: directory.Router{Name: "test"}})
 		if err != nil {
@@ -42,23 +42,23 @@
 
 func quarantined(target string) []quarantine.Order {
 	return []quarantine.Order{
-		{Kind: quarantine.Report, Fingerprint: endsServers(target), Servers: []string{"i-1", "i-2"}, Route: "r", Caller: "10.0.0.9", By: "g"},
-		{Kind: quarantine.Try, Fingerprint: endsServers(target), By: "g"},
-		{Kind: quarantine.Report, Fingerprint: endsServers(target), Servers: []string{"i-3"}, Tried: true, By: "g"},
-		{Kind: quarantine.Try, Fingerprint: endsServers(target), By: "g"},
-		{Kind: quarantine.Report, Fingerprint: endsServers(target), Servers: []string{"i-4"}, Tried: true, By: "g"},
+		{Kind: quarantine.Report, Fingerprint: fingerprintOf(target), Servers: []string{"i-1", "i-2"}, Route: "r", Caller: "10.0.0.9", By: "g"},
+		{Kind: quarantine.Try, Fingerprint: fingerprintOf(target), By: "g"},
+		{Kind: quarantine.Report, Fingerprint: fingerprintOf(target), Servers: []string{"i-3"}, Tried: true, By: "g"},
+		{Kind: quarantine.Try, Fingerprint: fingerprintOf(target), By: "g"},
+		{Kind: quarantine.Report, Fingerprint: fingerprintOf(target), Servers: []string{"i-4"}, Tried: true, By: "g"},
 	}
 }
 
-func TestQuarantineIsToldToRoutersEverywhereAndLiftedByAnOperator(t *testing.T) {
+func TestQuarantineIsReportedByAllNodesAndLiftedByAnOperator(t *testing.T) {
 	c := newCluster(t, 3)
 	c.startAll(true)
-	reply := c.give(quarantined("/a")...)
+	reply := c.sendOrders(quarantined("/a")...)
 	require.True(t, reply.Outcomes[1].Granted)
 	require.Equal(t, quarantine.Suspected, reply.Outcomes[2].After)
 	require.True(t, reply.Outcomes[3].Granted)
 	require.Equal(t, quarantine.Quarantined, reply.Outcomes[4].After)
-	c.everywhere("not told", knows(endsServers("/a"), quarantine.Quarantined))
+	c.eventuallyEverywhere("not reported", hasStanding(fingerprintOf("/a"), quarantine.Quarantined))
 
 	book, err := directory.ListQuarantine(context.Background(), c.addresses[0])
 	require.NoError(t, err)
@@ -67,28 +67,28 @@
 	require.Equal(t, "10.0.0.9", book.Records[0].Caller)
 	require.False(t, book.Records[0].At.IsZero())
 
-	before, err := directory.LiftQuarantine(context.Background(), c.addresses[1], endsServers("/a"), "operator")
+	before, err := directory.LiftQuarantine(context.Background(), c.addresses[1], fingerprintOf("/a"), "operator")
 	require.NoError(t, err)
 	require.Equal(t, quarantine.Quarantined, before)
-	c.everywhere("not lifted", knows(endsServers("/a"), quarantine.Unknown))
-	before, err = directory.LiftQuarantine(context.Background(), c.addresses[1], endsServers("/a"), "operator")
+	c.eventuallyEverywhere("not lifted", hasStanding(fingerprintOf("/a"), quarantine.Unknown))
+	before, err = directory.LiftQuarantine(context.Background(), c.addresses[1], fingerprintOf("/a"), "operator")
 	require.NoError(t, err)
 	require.Equal(t, quarantine.Unknown, before)
 }
 
-func TestQuarantineOutlivesTheLossOfTwoDisksAndARestartOfAll(t *testing.T) {
+func TestQuarantineSurvivesTheLossOfTwoDisksAndARestartOfAll(t *testing.T) {
 	c := newCluster(t, 5)
 	c.startAll(true)
 	c.put(document(1, "first"))
-	c.everywhere("not five voters", c.hasVoters(0, 1, 2, 3, 4))
-	c.give(quarantined("/a")...)
+	c.eventuallyEverywhere("not five voters", c.hasVoters(0, 1, 2, 3, 4))
+	c.sendOrders(quarantined("/a")...)
 	for index := range c.nodes {
 		c.stop(index)
 	}
 	c.wipe(0)
 	c.wipe(1)
 	c.startAll(false)
-	c.everywhere("lost", knows(endsServers("/a"), quarantine.Quarantined))
+	c.eventuallyEverywhere("lost", hasStanding(fingerprintOf("/a"), quarantine.Quarantined))
 }
 
 func TestOrdersThatCannotBeReadAreRefused(t *testing.T) {
--- a/internal/directory/quota.go
+++ b/internal/directory/quota.go
@@ -13,116 +13,118 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// Times of telling which tenants are metered.
+// Intervals for publishing the metered tenants.
 const (
-	// meterInterval is how often the leader looks whether a tenant's bucket is filled again.
-	meterInterval = 100 * time.Millisecond
-	// meterRepeat is how often it tells the other nodes again, which may have missed it.
-	meterRepeat = time.Second
+	// meterCheckInterval is how often the leader checks whether a tenant's bucket has refilled.
+	meterCheckInterval = 100 * time.Millisecond
+	// meterRepublishInterval is how often it publishes unchanged metered tenants to the other
+	// nodes, which may have missed them.
+	meterRepublishInterval = time.Second
 )
 
-// Metered are the tenants whose requests each need a token. The highest term, and of one
-// term the highest revision, holds.
-type Metered struct {
+// MeteredTenants are the tenants whose requests each need a token. The highest term wins, and
+// within a term the highest revision.
+type MeteredTenants struct {
 	Term     uint64   `json:"term"`
 	Revision uint64   `json:"revision"`
 	Tenants  []string `json:"tenants"`
 }
 
-func (m Metered) newer(than Metered) bool {
-	return m.Term > than.Term || m.Term == than.Term && m.Revision > than.Revision
+func (m MeteredTenants) newer(other MeteredTenants) bool {
+	return m.Term > other.Term || m.Term == other.Term && m.Revision > other.Revision
 }
 
-// quotaKeeper holds the ledger of a leader, for the term that it leads.
-type quotaKeeper struct {
+// leaderQuota holds the quota ledger of a leader for its term.
+type leaderQuota struct {
 	mutex  sync.Mutex
 	ledger *quota.Ledger
 	term   uint64
-	// version is that of the document whose limits the ledger knows, once it has begun.
-	version uint64
-	begun   bool
-	// told is the revision of the metered tenants that was told last.
-	told uint64
-	// wake is sent to when they changed.
-	wake chan struct{}
+	// version is that of the document whose limits the ledger holds, once limitsLoaded is set.
+	version      uint64
+	limitsLoaded bool
+	// publishedRevision is the last published revision of the metered tenants.
+	publishedRevision uint64
+	// changed is signaled when they change.
+	changed chan struct{}
 }
 
-// Quota takes what a router spent and wants of the tenants' limits, and returns what it
-// gets. It fails with ErrUnavailable.
+// Quota processes a router's usage of the tenants' limits and its request for tokens, and
+// returns the granted tokens. It fails with ErrUnavailable.
 func (n *Node) Quota(ctx context.Context, message quota.Message) (quota.Reply, error) {
 	var reply quota.Reply
-	err := n.atLeader(ctx, func(ctx context.Context) error {
-		granted, err := n.quotaHere(ctx, message)
+	err := n.onLeader(ctx, func(ctx context.Context) error {
+		granted, err := n.quotaAsLeader(ctx, message)
 		reply = granted
 		return err
 	}, pathQuotaLeader, message, &reply)
 	return reply, err
 }
 
-// quotaHere is Quota at the leader.
-func (n *Node) quotaHere(_ context.Context, message quota.Message) (quota.Reply, error) {
+// quotaAsLeader is Quota at the leader.
+func (n *Node) quotaAsLeader(_ context.Context, message quota.Message) (quota.Reply, error) {
 	ledger, release, err := n.lockLedger()
 	if err != nil {
 		return quota.Reply{}, err
 	}
 	defer release()
 	reply := ledger.Take(steadyclock.Now(), message)
-	if ledger.Revision() != n.quota.told {
+	if ledger.Revision() != n.quota.publishedRevision {
 		select {
-		case n.quota.wake <- struct{}{}:
+		case n.quota.changed <- struct{}{}:
 		default:
 		}
 	}
 	return reply, nil
 }
 
-// lockLedger returns the ledger of this node's term with the limits in force, locked until
-// release is called. It fails unless a quorum has lately confirmed that this node leads.
+// lockLedger returns the ledger of this node's term with the limits in effect, locked until
+// release is called. It fails unless a quorum has recently confirmed that this node leads.
 func (n *Node) lockLedger() (ledger *quota.Ledger, release func(), err error) {
-	status, applied := n.status(), n.member.state()
-	if status.Role != consensus.Leader || n.freshSince(applied, steadyclock.Now()) < -leaderFreshness {
+	status, state := n.status(), n.member.state()
+	if status.Role != consensus.Leader || n.freshnessAt(state, steadyclock.Now()) < -maxLeaderConfirmationAge {
 		return nil, nil, errors.Wrap(ErrUnavailable, "this node is not known to lead")
 	}
-	if err := n.quota.lock(status.Term, applied, n.config); err != nil {
+	if err := n.quota.lock(status.Term, state, n.config); err != nil {
 		return nil, nil, err
 	}
 	return n.quota.ledger, n.quota.mutex.Unlock, nil
 }
 
-// lock takes in the term and the limits in force, and leaves the keeper locked unless it fails.
-func (k *quotaKeeper) lock(term uint64, applied *machine, config Config) error {
-	k.mutex.Lock()
-	if k.ledger == nil || k.term != term {
-		k.ledger, k.term, k.begun, k.told = quota.NewLedger(config.QuotaTolerance), term, false, 0
+// lock updates the ledger to the term and the limits in effect. It leaves the mutex locked
+// unless it fails.
+func (q *leaderQuota) lock(term uint64, state *stateMachine, config Config) error {
+	q.mutex.Lock()
+	if q.ledger == nil || q.term != term {
+		q.ledger, q.term, q.limitsLoaded, q.publishedRevision = quota.NewLedger(config.QuotaTolerance), term, false, 0
 	}
-	version, text, _ := applied.document()
-	if k.begun && version == k.version {
+	version, text, _ := state.document()
+	if q.limitsLoaded && version == q.version {
 		return nil
 	}
 	var limits map[string]quota.Limit
 	if version > 0 {
-		read, err := config.ReadLimits(text)
+		parsed, err := config.ReadLimits(text)
 		if err != nil {
-			k.mutex.Unlock()
-			return errors.Wrapf(ErrUnavailable, "the limits can't be read: %v", err)
+			q.mutex.Unlock()
+			return errors.Wrapf(ErrUnavailable, "cannot read the limits: %v", err)
 		}
-		limits = read
+		limits = parsed
 	}
-	k.ledger.SetLimits(steadyclock.Now(), limits)
-	k.version, k.begun = version, true
+	q.ledger.SetLimits(steadyclock.Now(), limits)
+	q.version, q.limitsLoaded = version, true
 	return nil
 }
 
-// beginLedger has the ledger of a term know the limits before the first document of that term:
-// otherwise it takes the tenants which that one brings for such that an earlier leader may have
-// granted tokens to. What it is told comes after a confirmed read, so that no document of an
-// earlier leader is missing.
-func (n *Node) beginLedger(ctx context.Context) {
+// loadLedgerLimits loads the current limits into the ledger of a term before the first document
+// of that term. Otherwise the ledger would treat tenants new in that document as ones to which
+// an earlier leader may have granted tokens. The limits come from a confirmed read, so that no
+// document of an earlier leader is missed.
+func (n *Node) loadLedgerLimits(ctx context.Context) {
 	term := n.status().Term
 	n.quota.mutex.Lock()
-	begun := n.quota.begun && n.quota.term == term
+	loaded := n.quota.limitsLoaded && n.quota.term == term
 	n.quota.mutex.Unlock()
-	if begun {
+	if loaded {
 		return
 	}
 	err := n.confirm(ctx)
@@ -130,105 +132,104 @@
 		err = n.quota.lock(term, n.member.state(), n.config)
 	}
 	if err != nil {
-		// New tenants then begin with less of their burst, for a window.
+		// New tenants then start with less of their burst, for one window.
 		n.logger.WithField("term", term).WithField("reason", err).Warn("ledger_not_begun")
 		return
 	}
 	n.quota.mutex.Unlock()
 }
 
-// runQuota tells all nodes which tenants are metered, while this one leads.
+// runQuota publishes the metered tenants to all nodes while this one leads.
 func (n *Node) runQuota(ctx context.Context) {
-	ticker := time.NewTicker(meterInterval)
+	ticker := time.NewTicker(meterCheckInterval)
 	defer ticker.Stop()
-	var repeated time.Time
+	var lastPublished time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.quota.wake:
+		case <-n.quota.changed:
 		case <-ticker.C:
 		}
-		repeat := steadyclock.Since(repeated) >= meterRepeat
-		if repeat {
-			repeated = steadyclock.Now()
+		republish := steadyclock.Since(lastPublished) >= meterRepublishInterval
+		if republish {
+			lastPublished = steadyclock.Now()
 		}
-		n.tellMetered(ctx, repeat)
+		n.publishMetered(ctx, republish)
 	}
 }
 
-// tellMetered tells which tenants are metered if that changed, or again.
-func (n *Node) tellMetered(ctx context.Context, again bool) {
+// publishMetered publishes the metered tenants if they changed or force is set.
+func (n *Node) publishMetered(ctx context.Context, force bool) {
 	ledger, release, err := n.lockLedger()
 	if err != nil {
-		return // Another node leads, or will: it tells.
+		return // Another node leads, or will, and publishes them.
 	}
 	names, revision := ledger.Metered(steadyclock.Now())
-	metered := Metered{Term: n.quota.term, Revision: revision, Tenants: names}
-	changed := revision != n.quota.told
-	n.quota.told = revision
+	metered := MeteredTenants{Term: n.quota.term, Revision: revision, Tenants: names}
+	changed := revision != n.quota.publishedRevision
+	n.quota.publishedRevision = revision
 	limited := ledger.Limited()
 	release()
-	if !limited && revision == 0 || !changed && !again {
+	if !limited && revision == 0 || !changed && !force {
 		return
 	}
-	n.takeMetered(metered)
+	n.applyMetered(metered)
 	for _, address := range n.peerAddresses() {
 		go func() {
-			calling, cancel := context.WithTimeout(ctx, deliverTimeout)
+			callCtx, cancel := context.WithTimeout(ctx, deliverTimeout)
 			defer cancel()
-			if err := n.peers.call(calling, address, pathMetered, metered, nil); err != nil {
+			if err := n.peers.call(callCtx, address, pathMetered, metered, nil); err != nil {
 				n.logger.WithField("node", address).WithField("reason", err).Debug("metered_not_told")
 			}
 		}()
 	}
 }
 
-// takeMetered takes in which tenants are metered, and wakes routers if that is news.
-func (n *Node) takeMetered(told Metered) {
+// applyMetered stores newer metered tenants and notifies routers if they changed.
+func (n *Node) applyMetered(metered MeteredTenants) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if !told.newer(n.metered) {
+	if !metered.newer(n.metered) {
 		return
 	}
 	digest := uint64(0)
-	if len(told.Tenants) > 0 {
-		digest = digestOf(told.Tenants)
+	if len(metered.Tenants) > 0 {
+		digest = digestOf(metered.Tenants)
 	}
-	n.metered = told
+	n.metered = metered
 	if digest == n.meteredDigest {
 		return
 	}
 	n.meteredDigest = digest
-	n.metrics.metered.Set(float64(len(told.Tenants)))
-	n.logger.WithFields(logrus.Fields{"term": told.Term, "revision": told.Revision, "tenants": len(told.Tenants), "some": someOf(told.Tenants)}).Info("metered_tenants_changed")
-	n.announce()
+	n.metrics.metered.Set(float64(len(metered.Tenants)))
+	n.logger.WithFields(logrus.Fields{"term": metered.Term, "revision": metered.Revision, "tenants": len(metered.Tenants), "some": sampleOf(metered.Tenants)}).Info("metered_tenants_changed")
+	n.notifyRouters()
 }
 
-// maxNamed bounds the names in one log line.
-const maxNamed = 8
+// maxLoggedNames bounds the names in one log line.
+const maxLoggedNames = 8
 
-func someOf(names []string) []string { return names[:min(len(names), maxNamed)] }
+func sampleOf(names []string) []string { return names[:min(len(names), maxLoggedNames)] }
 
-// TenantList is what the leader knows of tenants with a limit.
+// TenantList is the leader's view of the tenants with a limit.
 type TenantList struct {
 	Version uint64        `json:"version"`
 	Tenants []quota.Usage `json:"tenants"`
 }
 
-// Tenants returns what is used of the limits, from the leader. It fails with
-// ErrUnavailable.
+// Tenants returns the usage of the limits, from the leader. It fails with ErrUnavailable.
 func (n *Node) Tenants(ctx context.Context) (TenantList, error) {
 	var list TenantList
-	err := n.atLeader(ctx, func(ctx context.Context) error {
-		known, err := n.tenantsHere(ctx, struct{}{})
-		list = known
+	err := n.onLeader(ctx, func(ctx context.Context) error {
+		usage, err := n.tenantsAsLeader(ctx, struct{}{})
+		list = usage
 		return err
 	}, pathTenantsLeader, struct{}{}, &list)
 	return list, err
 }
 
-func (n *Node) tenantsHere(context.Context, struct{}) (TenantList, error) {
+func (n *Node) tenantsAsLeader(context.Context, struct{}) (TenantList, error) {
 	ledger, release, err := n.lockLedger()
 	if err != nil {
 		return TenantList{}, err
@@ -237,7 +238,7 @@
 	return TenantList{Version: n.quota.version, Tenants: ledger.Usage(steadyclock.Now())}, nil
 }
 
-// ListTenants asks the node at a peer address what is used of the tenants' limits.
+// ListTenants queries the node at a peer address for the usage of the tenants' limits.
 func ListTenants(ctx context.Context, address string) (TenantList, error) {
 	var list TenantList
 	err := newPeerClient().call(ctx, address, pathTenants, struct{}{}, &list)
--- a/internal/directory/rollout_steps.go
+++ b/internal/directory/rollout_steps.go
@@ -9,137 +9,137 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// rolloutInterval is how often the leader looks at the roll-outs that run.
+// rolloutInterval is how often the leader checks the running rollouts.
 const rolloutInterval = 100 * time.Millisecond
 
-// RolloutReport is what a router observed since its start of the roll-outs that run. Each
-// report holds the sums, so that one that is lost costs nothing.
+// RolloutReport is what a router has observed of the running rollouts since its start. Each
+// report is cumulative, so that a lost one does not matter.
 type RolloutReport struct {
 	Router string `json:"router"`
-	// Start tells starts of one router apart.
+	// Start distinguishes the starts of one router.
 	Start string `json:"start"`
-	// Revision is that of the rules that the router goes by.
+	// Revision is that of the rules that the router applies.
 	Revision uint64                   `json:"revision"`
 	Services map[string]ServiceReport `json:"services"`
 }
 
-// ServiceReport is what a router observed of one roll-out.
+// ServiceReport is what a router observed of one rollout.
 type ServiceReport struct {
 	Number   uint64           `json:"number"`
 	Evidence rollout.Evidence `json:"evidence"`
-	// Old are attempts that are out at servers of other versions than the new one.
+	// Old is the number of attempts in flight at servers of versions other than the new one.
 	Old int `json:"old"`
 }
 
-// maxReports bounds the starts of routers whose reports are kept.
+// maxReports bounds the router starts whose reports are kept.
 const maxReports = 20_000
 
-// reportBook holds the last report of each start of a router; its owner guards it.
-type reportBook map[string]RolloutReport
+// reportTable holds the last report of each start of a router; its owner synchronizes access.
+type reportTable map[string]RolloutReport
 
-func (b reportBook) take(report RolloutReport) {
-	if _, known := b[report.Start]; !known && len(b) >= maxReports {
-		clear(b)
+func (t reportTable) record(report RolloutReport) {
+	if _, known := t[report.Start]; !known && len(t) >= maxReports {
+		clear(t)
 	}
-	b[report.Start] = report
+	t[report.Start] = report
 }
 
-// sum returns what all routers observed of one roll-out.
-func (b reportBook) sum(service string, number uint64) rollout.Evidence {
-	whole := rollout.Evidence{}
-	for _, report := range b {
-		if told := report.Services[service]; told.Number == number {
-			whole.Add(told.Evidence)
+// sum returns the observations of all routers for one rollout.
+func (t reportTable) sum(service string, number uint64) rollout.Evidence {
+	total := rollout.Evidence{}
+	for _, report := range t {
+		if observed := report.Services[service]; observed.Number == number {
+			total.Add(observed.Evidence)
 		}
 	}
-	return whole
+	return total
 }
 
-// quiet reports whether all of some routers go by a revision and have nothing out at the old
-// servers of a service.
-func (b reportBook) quiet(routers []sharedRouter, revision uint64, service string) bool {
+// drained reports whether all of the given routers apply a revision and have nothing in flight
+// at the old servers of a service.
+func (t reportTable) drained(routers []sharedRouter, revision uint64, service string) bool {
 	latest := make(map[string]RolloutReport)
-	for _, report := range b {
+	for _, report := range t {
 		if report.Revision >= latest[report.Router].Revision {
 			latest[report.Router] = report
 		}
 	}
 	for _, router := range routers {
-		report, told := latest[router.Name]
-		if !told || report.Revision < revision || report.Services[service].Old > 0 {
+		report, known := latest[router.Name]
+		if !known || report.Revision < revision || report.Services[service].Old > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// ReportRollouts takes what a router observed.
+// ReportRollouts records the observations of a router.
 func (n *Node) ReportRollouts(ctx context.Context, report RolloutReport) (struct{}, error) {
-	return struct{}{}, n.atLeader(ctx, func(ctx context.Context) error {
-		_, err := n.reportHere(ctx, report)
+	return struct{}{}, n.onLeader(ctx, func(ctx context.Context) error {
+		_, err := n.reportRolloutsAsLeader(ctx, report)
 		return err
 	}, pathRolloutReport, report, nil)
 }
 
-func (n *Node) reportHere(_ context.Context, report RolloutReport) (struct{}, error) {
+func (n *Node) reportRolloutsAsLeader(_ context.Context, report RolloutReport) (struct{}, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.reports.take(report)
+	n.rolloutReports.record(report)
 	return struct{}{}, nil
 }
 
-// progress is since when a roll-out runs and is in its phase, by the leader's steady clock.
+// progress is when a rollout and its current phase began, by the leader's steady clock.
 type progress struct {
-	began, entered time.Time
-	phase          rollout.Phase
+	startedAt, phaseEnteredAt time.Time
+	phase                     rollout.Phase
 }
 
-// runRollouts takes the next step of each roll-out that runs, while this node leads.
+// runRollouts advances the running rollouts while this node leads.
 func (n *Node) runRollouts(ctx context.Context) {
-	known := make(map[uint64]progress)
-	every(ctx, rolloutInterval, func() {
+	progressByNumber := make(map[uint64]progress)
+	runEvery(ctx, rolloutInterval, func() {
 		if n.status().Role != consensus.Leader {
-			clear(known)
+			clear(progressByNumber)
 			return
 		}
-		held, revision := n.member.state().rollouts()
-		for _, one := range held {
-			if one.Phase.Running() {
-				n.stepRollout(ctx, one, revision, known)
+		rollouts, revision := n.member.state().rollouts()
+		for _, current := range rollouts {
+			if current.Phase.Running() {
+				n.stepRollout(ctx, current, revision, progressByNumber)
 			}
 		}
 	})
 }
 
-// stepRollout takes the next step of one roll-out, if it is time for one.
-func (n *Node) stepRollout(ctx context.Context, one Rollout, revision uint64, known map[uint64]progress) {
+// stepRollout takes the next step of one rollout, if it is due.
+func (n *Node) stepRollout(ctx context.Context, current Rollout, revision uint64, progressByNumber map[uint64]progress) {
 	now := steadyclock.Now()
-	at, seen := known[one.Number]
-	if !seen {
-		// Another leader began it.
-		passed := time.Since(one.Ordered) // The wall clock: nothing else tells how long ago by another machine's.
-		at.began = now.Add(-min(one.Duration, max(0, passed)))
+	tracked, exists := progressByNumber[current.Number]
+	if !exists {
+		// It was started under another leader.
+		elapsed := time.Since(current.Ordered) // Wall clock: only it is comparable with the other node's timestamp.
+		tracked.startedAt = now.Add(-min(current.Duration, max(0, elapsed)))
 	}
-	if at.phase != one.Phase {
-		at.phase, at.entered = one.Phase, now
+	if tracked.phase != current.Phase {
+		tracked.phase, tracked.phaseEnteredAt = current.Phase, now
 	}
-	known[one.Number] = at
+	progressByNumber[current.Number] = tracked
 	n.mutex.Lock()
 	situation := rollout.Situation{
-		Phase: one.Phase, Elapsed: now.Sub(at.began), Inside: now.Sub(at.entered), Duration: one.Duration,
-		Evidence: n.reports.sum(one.Service, one.Number),
-		Quiet:    n.reports.quiet(n.routers.within(now, routerLiveness), revision, one.Service),
+		Phase: current.Phase, Elapsed: now.Sub(tracked.startedAt), Inside: now.Sub(tracked.phaseEnteredAt), Duration: current.Duration,
+		Evidence: n.rolloutReports.sum(current.Service, current.Number),
+		Quiet:    n.rolloutReports.drained(n.routers.activeWithin(now, routerLiveness), revision, current.Service),
 	}
 	n.mutex.Unlock()
 	next := rollout.Decide(situation)
 	if next.Phase == "" {
 		return
 	}
-	step := rolloutCommand{Rollout: one, From: one.Phase}
-	step.Phase, step.Why, step.Changed = next.Phase, next.Why, time.Now().UTC() // The wall clock: a person reads it.
-	proposing, cancel := context.WithTimeout(ctx, operationTimeout)
+	step := rolloutCommand{Rollout: current, From: current.Phase}
+	step.Phase, step.Why, step.Changed = next.Phase, next.Why, time.Now().UTC() // Wall clock, since operators read it.
+	proposeCtx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
-	if _, err := n.propose(proposing, command{Rollouts: []rolloutCommand{step}}); err != nil {
-		n.logger.WithField("service", one.Service).WithField("phase", next.Phase).WithField("reason", err).Warn("rollout_step_not_taken")
+	if _, err := n.propose(proposeCtx, command{Rollouts: []rolloutCommand{step}}); err != nil {
+		n.logger.WithField("service", current.Service).WithField("phase", next.Phase).WithField("reason", err).Warn("rollout_step_not_taken")
 	}
 }
