--- a/internal/directory/rollouts.go
+++ b/internal/directory/rollouts.go
@@ -14,40 +14,41 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// Rollout is the latest order to move a service to servers of another version, and how far
-// that is.
+// Rollout is the latest order to move a service to servers of another version, and its
+// progress.
 type Rollout struct {
 	Service string        `json:"service"`
 	Target  string        `json:"target"`
 	Phase   rollout.Phase `json:"phase"`
-	// Why is what the last step was taken for.
+	// Why is the reason of the last step.
 	Why string `json:"why,omitempty"`
-	// Number tells one order from another.
+	// Number identifies the order.
 	Number uint64 `json:"number"`
-	// Barred are versions that earlier roll-outs of the service took back.
+	// Barred are versions that earlier rollouts of the service rolled back.
 	Barred   []string      `json:"barred,omitempty"`
 	Duration time.Duration `json:"duration"`
-	// By is the address that the order came from; Ordered and Changed are by the clocks of
-	// the nodes that took the order and the last step.
+	// By is the address that the order came from; Ordered and Changed are by the clocks of the
+	// nodes that received the order and took the last step.
 	By      string    `json:"by"`
 	Ordered time.Time `json:"ordered"`
 	Changed time.Time `json:"changed"`
 }
 
-// rolloutCommand is an order, or with a Number a step of one.
+// rolloutCommand is an order, or, with a Number, a step of one.
 type rolloutCommand struct {
 	Rollout
 	// From is the phase that the step leaves.
 	From rollout.Phase `json:"from,omitempty"`
 }
 
-// RolloutTold is what routers are told of a service's roll-out.
+// RolloutTold is the rule for a service's rollout that routers apply, with the number of the
+// rollout.
 type RolloutTold struct {
 	rollout.Rule
 	Number uint64 `json:"number"`
 }
 
-// Bounds of orders.
+// Limits on orders.
 const (
 	maxRollouts     = 1000
 	maxNameBytes    = 200
@@ -55,149 +56,150 @@
 	shortestRollout = 100 * time.Millisecond
 )
 
-// StartRollout takes the order to move a service's requests to servers of a version within a
-// time, from a caller's address. Nil means that a quorum has synced it; sent again, it changes
-// nothing. Other outcomes are *rollout.ConflictError (another one of the service is under way),
-// *routing.InvalidError (nothing was changed) and ErrUnavailable (it may be in force).
+// StartRollout orders that a service's requests move to servers of a version within a duration;
+// by is the caller's address. Nil means that a quorum has synced the order; repeating it has no
+// effect. Other outcomes are *rollout.ConflictError (another rollout of the service is in
+// progress), *routing.InvalidError (nothing was changed) and ErrUnavailable (it may be in
+// effect).
 func (n *Node) StartRollout(ctx context.Context, service, version string, duration time.Duration, by string) error {
-	began := steadyclock.Now()
+	start := steadyclock.Now()
 	var reply startReply
 	err := checkRollout(service, version, duration)
 	if err == nil {
-		ordered := time.Now().UTC() // The wall clock: a person reads it, and another leader reckons from it.
+		ordered := time.Now().UTC() // Wall clock: operators read it, and another leader measures elapsed time from it.
 		order := rolloutCommand{Rollout: Rollout{Service: service, Target: version, Duration: duration, By: by, Ordered: ordered}}
-		err = n.atLeader(ctx, func(ctx context.Context) error {
-			taken, err := n.startHere(ctx, order)
-			reply = taken
+		err = n.onLeader(ctx, func(ctx context.Context) error {
+			started, err := n.startRolloutAsLeader(ctx, order)
+			reply = started
 			return err
 		}, pathRolloutStart, order, &reply)
 	}
-	if err == nil && reply.UnderWay != "" {
-		err = &rollout.ConflictError{Service: service, Target: reply.UnderWay}
+	if err == nil && reply.ConflictingTarget != "" {
+		err = &rollout.ConflictError{Service: service, Target: reply.ConflictingTarget}
 	}
-	n.record("rollout_started", began, err, logrus.Fields{"service": service, "target": version, "duration": duration, "by": by})
+	n.recordOperation("rollout_started", start, err, logrus.Fields{"service": service, "target": version, "duration": duration, "by": by})
 	return err
 }
 
 func checkRollout(service, version string, duration time.Duration) error {
-	named := func(name string) bool { return name != "" && len(name) <= maxNameBytes }
-	if !named(service) || !named(version) || duration < shortestRollout || duration > longestRollout {
-		return &routing.InvalidError{Detail: "a roll-out names a service and a version, of 200 bytes at most, and a time of 0.1 s to 24 h"}
+	validName := func(name string) bool { return name != "" && len(name) <= maxNameBytes }
+	if !validName(service) || !validName(version) || duration < shortestRollout || duration > longestRollout {
+		return &routing.InvalidError{Detail: "a rollout needs a service and a version of at most 200 bytes and a duration of 0.1 s to 24 h"}
 	}
 	return nil
 }
 
-// startReply names the version to which another roll-out of the service is under way; empty
-// for none.
+// startReply names the target version of another rollout of the service that is in progress;
+// empty for none.
 type startReply struct {
-	UnderWay string `json:"under_way,omitempty"`
+	ConflictingTarget string `json:"under_way,omitempty"`
 }
 
-// startHere is StartRollout at the leader.
-func (n *Node) startHere(ctx context.Context, order rolloutCommand) (startReply, error) {
+// startRolloutAsLeader is StartRollout at the leader.
+func (n *Node) startRolloutAsLeader(ctx context.Context, order rolloutCommand) (startReply, error) {
 	if !n.mayAcknowledge() {
 		return startReply{}, errNotFormed
 	}
 	result, err := n.propose(ctx, command{Rollouts: []rolloutCommand{order}})
-	return startReply{UnderWay: result.UnderWay}, err
+	return startReply{ConflictingTarget: result.ConflictingTarget}, err
 }
 
-// Rollout returns how far the latest roll-out of a service is, confirmed by a quorum after the
-// call began. It fails with ErrUnavailable.
+// Rollout returns the progress of the latest rollout of a service, confirmed by a quorum after
+// the call began. It fails with ErrUnavailable.
 func (n *Node) Rollout(ctx context.Context, service string) (phase rollout.Phase, target string, known bool, err error) {
-	list, err := n.rolloutsAtLeader(ctx)
-	found, known := lo.Find(list.Rollouts, func(of Rollout) bool { return of.Service == service })
+	list, err := n.rolloutsFromLeader(ctx)
+	found, known := lo.Find(list.Rollouts, func(listed Rollout) bool { return listed.Service == service })
 	return found.Phase, found.Target, known && err == nil, err
 }
 
-// rolloutsAtLeader returns the roll-outs as the leader knows them, confirmed by a quorum.
-func (n *Node) rolloutsAtLeader(ctx context.Context) (RolloutList, error) {
+// rolloutsFromLeader returns the rollouts known to the leader, confirmed by a quorum.
+func (n *Node) rolloutsFromLeader(ctx context.Context) (RolloutList, error) {
 	var list RolloutList
-	err := n.atLeader(ctx, func(ctx context.Context) error {
-		confirmed, err := n.rolloutsConfirmed(ctx, struct{}{})
+	err := n.onLeader(ctx, func(ctx context.Context) error {
+		confirmed, err := n.confirmedRollouts(ctx, struct{}{})
 		list = confirmed
 		return err
 	}, pathRolloutRead, struct{}{}, &list)
 	return list, err
 }
 
-func (n *Node) rolloutsConfirmed(ctx context.Context, _ struct{}) (RolloutList, error) {
+func (n *Node) confirmedRollouts(ctx context.Context, _ struct{}) (RolloutList, error) {
 	if err := n.confirm(ctx); err != nil {
 		return RolloutList{}, err
 	}
 	return n.Rollouts(), nil
 }
 
-// RolloutList is the roll-outs as a node knows them.
+// RolloutList is the list of rollouts known to a node.
 type RolloutList struct {
 	Revision uint64    `json:"revision"`
 	Rollouts []Rollout `json:"rollouts"`
-	// Evidence is what routers told of those that run, at the leader, by service.
+	// Evidence is what routers reported of the running rollouts, at the leader, by service.
 	Evidence map[string]rollout.Evidence `json:"evidence,omitempty"`
 }
 
-// Rollouts returns the roll-outs as this node knows them.
+// Rollouts returns the rollouts known to this node.
 func (n *Node) Rollouts() RolloutList {
-	held, revision := n.member.state().rollouts()
-	list := RolloutList{Revision: revision, Rollouts: held, Evidence: make(map[string]rollout.Evidence)}
+	rollouts, revision := n.member.state().rollouts()
+	list := RolloutList{Revision: revision, Rollouts: rollouts, Evidence: make(map[string]rollout.Evidence)}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	for _, one := range held {
-		if one.Phase.Running() {
-			list.Evidence[one.Service] = n.reports.sum(one.Service, one.Number)
+	for _, current := range rollouts {
+		if current.Phase.Running() {
+			list.Evidence[current.Service] = n.rolloutReports.sum(current.Service, current.Number)
 		}
 	}
 	return list
 }
 
-// ListRollouts asks the node at a peer address for the roll-outs as it knows them.
+// ListRollouts queries the node at a peer address for the rollouts that it knows.
 func ListRollouts(ctx context.Context, address string) (RolloutList, error) {
 	var list RolloutList
 	err := newPeerClient().call(ctx, address, pathRolloutList, struct{}{}, &list)
 	return list, err
 }
 
-// applyRollout carries an order or a step out, and returns the version to which another
-// roll-out of the service is under way. The caller holds the mutex.
-func (m *machine) applyRollout(told rolloutCommand) (underWay string) {
-	at, exists := slices.BinarySearchFunc(m.state.Rollouts, told.Service, func(held Rollout, service string) int {
-		return cmp.Compare(held.Service, service)
+// applyRollout applies an order or a step, and returns the target version of another rollout of
+// the service that is in progress. The caller holds the mutex.
+func (m *stateMachine) applyRollout(change rolloutCommand) (conflictingTarget string) {
+	index, exists := slices.BinarySearchFunc(m.state.Rollouts, change.Service, func(existing Rollout, service string) int {
+		return cmp.Compare(existing.Service, service)
 	})
-	if told.Number != 0 {
-		m.stepRollout(at, exists, told)
+	if change.Number != 0 {
+		m.applyRolloutStep(index, exists, change)
 		return ""
 	}
 	if exists {
-		switch held := m.state.Rollouts[at]; {
-		case held.Target == told.Target:
-			return "" // It is sent again.
-		case held.Phase.Running():
-			return held.Target
+		switch existing := m.state.Rollouts[index]; {
+		case existing.Target == change.Target:
+			return "" // The order is repeated.
+		case existing.Phase.Running():
+			return existing.Target
 		}
 	} else if len(m.state.Rollouts) >= maxRollouts {
 		return "too many services"
 	}
 	m.state.RolloutRevision++
-	begun := told.Rollout
-	begun.Phase, begun.Number, begun.Changed = rollout.Canary, m.state.RolloutRevision, told.Ordered
-	// Readers may hold the former list.
-	held := slices.Clone(m.state.Rollouts)
+	started := change.Rollout
+	started.Phase, started.Number, started.Changed = rollout.Canary, m.state.RolloutRevision, change.Ordered
+	// Copy on write: readers may hold the former slice.
+	rollouts := slices.Clone(m.state.Rollouts)
 	if exists {
-		begun.Barred = barredBy(held[at], begun.Target)
-		held[at] = begun
+		started.Barred = barredBy(rollouts[index], started.Target)
+		rollouts[index] = started
 	} else {
-		held = slices.Insert(held, at, begun)
+		rollouts = slices.Insert(rollouts, index, started)
 	}
-	m.state.Rollouts = held
+	m.state.Rollouts = rollouts
 	return ""
 }
 
-// maxBarred bounds the versions of a service that stay barred; the oldest ones, whose servers
-// have long been taken away, are forgotten.
+// maxBarred bounds the barred versions of a service; the oldest ones, whose servers have long
+// been removed, are dropped.
 const maxBarred = 16
 
-// barredBy returns the versions that get nothing in the roll-out to a target that follows a
-// former one.
+// barredBy returns the versions that get no requests in the rollout to a target that follows a
+// former rollout.
 func barredBy(former Rollout, target string) []string {
 	barred := slices.Clone(former.Barred)
 	if former.Phase == rollout.RolledBack {
@@ -207,56 +209,57 @@
 	return barred[max(0, len(barred)-maxBarred):]
 }
 
-func (m *machine) stepRollout(at int, exists bool, step rolloutCommand) {
-	if !exists || m.state.Rollouts[at].Number != step.Number || m.state.Rollouts[at].Phase != step.From {
+func (m *stateMachine) applyRolloutStep(index int, exists bool, step rolloutCommand) {
+	if !exists || m.state.Rollouts[index].Number != step.Number || m.state.Rollouts[index].Phase != step.From {
 		return
 	}
 	m.state.RolloutRevision++
-	held := slices.Clone(m.state.Rollouts)
-	held[at].Phase, held[at].Why, held[at].Changed = step.Phase, step.Why, step.Changed
-	m.state.Rollouts = held
+	rollouts := slices.Clone(m.state.Rollouts)
+	rollouts[index].Phase, rollouts[index].Why, rollouts[index].Changed = step.Phase, step.Why, step.Changed
+	m.state.Rollouts = rollouts
 }
 
-// rollouts returns the latest roll-out of each service, and the revision of that list.
-func (m *machine) rollouts() ([]Rollout, uint64) {
+// rollouts returns the latest rollout of each service, and the revision of that list.
+func (m *stateMachine) rollouts() ([]Rollout, uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.state.Rollouts, m.state.RolloutRevision
 }
 
-// rolloutNews returns what a router that holds a revision does not know.
-func (n *Node) rolloutNews(applied *machine, above uint64) (map[string]RolloutTold, uint64) {
-	held, revision := applied.rollouts()
+// rolloutUpdate returns the rollout rules if their revision is above the one that a router
+// holds, and the revision.
+func (n *Node) rolloutUpdate(state *stateMachine, above uint64) (map[string]RolloutTold, uint64) {
+	rollouts, revision := state.rollouts()
 	if revision <= above {
 		return nil, revision
 	}
 	limits := rollout.Limits{CanaryShare: n.config.CanaryShare}
-	return lo.SliceToMap(held, func(of Rollout) (string, RolloutTold) {
-		rule := rollout.RuleOf(of.Target, of.Phase, limits)
-		rule.Barred = of.Barred
-		return of.Service, RolloutTold{Rule: rule, Number: of.Number}
+	return lo.SliceToMap(rollouts, func(current Rollout) (string, RolloutTold) {
+		rule := rollout.RuleOf(current.Target, current.Phase, limits)
+		rule.Barred = current.Barred
+		return current.Service, RolloutTold{Rule: rule, Number: current.Number}
 	}), revision
 }
 
-// retireOld marks the servers that a roll-out has replaced as leaving, once this node sees it
-// end: they stop without a word. One that had ended before this node started is left alone,
-// since later servers may be of other versions.
-func (n *Node) retireOld(applied *machine, seen map[uint64]rollout.Phase) {
-	held, _ := applied.rollouts()
-	for _, one := range held {
-		before := seen[one.Number]
-		seen[one.Number] = one.Phase
-		if before == one.Phase {
+// markReplacedServers marks the servers that a rollout has replaced as leaving once this node
+// sees it complete, because they stop without a notice. A rollout that completed before this
+// node started is ignored, since later servers may run other versions.
+func (n *Node) markReplacedServers(state *stateMachine, phases map[uint64]rollout.Phase) {
+	rollouts, _ := state.rollouts()
+	for _, current := range rollouts {
+		before := phases[current.Number]
+		phases[current.Number] = current.Phase
+		if before == current.Phase {
 			continue
 		}
 		n.logger.WithFields(logrus.Fields{
-			"service": one.Service, "target": one.Target, "phase": one.Phase, "before": before, "why": one.Why, "number": one.Number,
+			"service": current.Service, "target": current.Target, "phase": current.Phase, "before": before, "why": current.Why, "number": current.Number,
 		}).Info("rollout_changed")
-		if before.Running() && one.Phase == rollout.Done {
+		if before.Running() && current.Phase == rollout.Done {
 			n.mutex.Lock()
-			marked := n.registry.LeaveOthers(one.Service, one.Target)
+			marked := n.registry.LeaveOthers(current.Service, current.Target)
 			n.mutex.Unlock()
-			n.logger.WithField("service", one.Service).WithField("servers", marked).Info("replaced_servers_leave")
+			n.logger.WithField("service", current.Service).WithField("servers", marked).Info("replaced_servers_leave")
 		}
 	}
 }
--- a/internal/directory/rollouts_test.go
+++ b/internal/directory/rollouts_test.go
@@ -14,16 +14,17 @@
 	"github.com/martenstage/martenstage/internal/routing"
 )
 
-// startRollout orders one until some node acknowledges it.
+// startRollout orders a rollout until some node acknowledges it.
 func (c *cluster) startRollout(service, version string, duration time.Duration) {
 	c.t.Helper()
-	c.eventually("no node acknowledges the roll-out", func(node *runningNode) bool {
+	c.eventually("no node acknowledges the rollout", func(node *runningNode) bool {
 		return node.StartRollout(context.Background(), service, version, duration, "10.0.0.9:1") == nil
 	})
 }
 
-// told returns what a router that follows a node is told of the roll-out of a service.
-func told(node *runningNode, service string) (directory.RolloutTold, directory.FollowReply) {
+// rolloutAt returns the rollout of a service that a node reports to a router, and the complete
+// reply.
+func rolloutAt(node *runningNode, service string) (directory.RolloutTold, directory.FollowReply) {
 	reply, err := node.Follow(context.Background(), directory.FollowRequest{Router: directory.Router{Name: "test"}})
 	if err != nil {
 		return directory.RolloutTold{}, reply
@@ -31,15 +32,16 @@
 	return reply.Rollouts[service], reply
 }
 
-// inPhase reports whether routers are told that the roll-out of s is in a phase.
+// inPhase reports whether a node reports a phase of the rollout of service s.
 func inPhase(phase rollout.Phase) func(*runningNode) bool {
 	return func(node *runningNode) bool {
-		rule, _ := told(node, "s")
+		rule, _ := rolloutAt(node, "s")
 		return rule.Phase == phase
 	}
 }
 
-// observations are answers of both versions, of which some of the new one are bad.
+// observations returns evidence with the given number of answers of each version, of which some
+// of the new version are bad.
 func observations(answers, bad int) rollout.Evidence {
 	evidence := rollout.Evidence{}
 	for number := range answers {
@@ -49,10 +51,10 @@
 	return evidence
 }
 
-// report has a router tell what it observed, through any node, until it is taken.
-func (c *cluster) report(revision uint64, number uint64, evidence rollout.Evidence, old int) {
+// sendRolloutReport sends a router's observations to any node until one accepts them.
+func (c *cluster) sendRolloutReport(revision uint64, number uint64, evidence rollout.Evidence, old int) {
 	c.t.Helper()
-	c.eventually("the report is not taken", func(node *runningNode) bool {
+	c.eventually("no node accepts the report", func(node *runningNode) bool {
 		_, err := node.ReportRollouts(context.Background(), directory.RolloutReport{
 			Router: "test", Start: "test/1", Revision: revision,
 			Services: map[string]directory.ServiceReport{"s": {Number: number, Evidence: evidence, Old: old}},
@@ -61,15 +63,15 @@
 	})
 }
 
-func TestRolloutsAreKeptAndSentAgain(t *testing.T) {
+func TestRolloutsAreIdempotentAndSurviveLossOfTwoDisks(t *testing.T) {
 	c := newCluster(t, 5)
 	c.startAll(true)
 	c.put(document(1, "first"))
-	c.everywhere("not five voters", c.hasVoters(0, 1, 2, 3, 4))
+	c.eventuallyEverywhere("not five voters", c.hasVoters(0, 1, 2, 3, 4))
 	c.startRollout("s", "v2", time.Hour)
 	c.startRollout("s", "v2", time.Hour)
-	c.everywhere("not told", inPhase(rollout.Canary))
-	rule, _ := told(c.nodes[0], "s")
+	c.eventuallyEverywhere("not reported", inPhase(rollout.Canary))
+	rule, _ := rolloutAt(c.nodes[0], "s")
 	require.Equal(t, "v2", rule.Target)
 	require.InDelta(t, 0.06, rule.Share, 0.001)
 	var conflict *rollout.ConflictError
@@ -87,12 +89,12 @@
 	c.wipe(0)
 	c.wipe(1)
 	c.startAll(false)
-	c.everywhere("lost", inPhase(rollout.Canary))
+	c.eventuallyEverywhere("lost", inPhase(rollout.Canary))
 	c.eventually("not read", func(node *runningNode) bool {
 		phase, target, known, err := node.Rollout(context.Background(), "s")
 		return err == nil && known && phase == rollout.Canary && target == "v2"
 	})
-	c.eventually("another is read", func(node *runningNode) bool {
+	c.eventually("an unknown rollout is returned", func(node *runningNode) bool {
 		_, _, known, err := node.Rollout(context.Background(), "other")
 		return err == nil && !known
 	})
@@ -103,26 +105,26 @@
 	c.startAll(true)
 	c.put(document(1, "first"))
 	c.startRollout("s", "v2", time.Hour)
-	c.everywhere("not told", inPhase(rollout.Canary))
-	rule, reply := told(c.nodes[0], "s")
-	c.report(reply.RolloutRevision, rule.Number, observations(40, 20), 0)
-	c.everywhere("not rolled back", inPhase(rollout.RolledBack))
+	c.eventuallyEverywhere("not reported", inPhase(rollout.Canary))
+	rule, reply := rolloutAt(c.nodes[0], "s")
+	c.sendRolloutReport(reply.RolloutRevision, rule.Number, observations(40, 20), 0)
+	c.eventuallyEverywhere("not rolled back", inPhase(rollout.RolledBack))
 	list, err := directory.ListRollouts(context.Background(), c.addresses[0])
 	require.NoError(t, err)
 	require.Contains(t, list.Rollouts[0].Why, "failures: 20 of 40")
 	require.Equal(t, "10.0.0.9:1", list.Rollouts[0].By)
 	c.startRollout("s", "v3", time.Hour)
-	c.everywhere("the next one is not begun", inPhase(rollout.Canary))
-	rule, _ = told(c.nodes[0], "s")
-	require.Equal(t, []string{"v2"}, rule.Barred, "what was taken back gets nothing in the next one either")
+	c.eventuallyEverywhere("the next rollout is not started", inPhase(rollout.Canary))
+	rule, _ = rolloutAt(c.nodes[0], "s")
+	require.Equal(t, []string{"v2"}, rule.Barred, "a rolled back version gets nothing in the next rollout either")
 }
 
-func TestAGoodVersionIsDoneAndReplacesTheOldServers(t *testing.T) {
+func TestGoodVersionCompletesAndReplacesOldServers(t *testing.T) {
 	c := newCluster(t, 5)
 	c.startAll(true)
 	c.put(document(1, "first"))
 	sequence := uint64(0)
-	beat := func() {
+	sendHeartbeats := func() {
 		sequence++
 		for id, version := range map[string]string{"old": "v1", "new": "v2"} {
 			require.NoError(t, c.nodes[0].Heartbeat(context.Background(), registry.Instance{
@@ -130,20 +132,20 @@
 			}))
 		}
 	}
-	beat()
+	sendHeartbeats()
 	c.startRollout("s", "v2", 3*time.Second)
-	rule, reply := told(c.nodes[0], "s")
+	rule, reply := rolloutAt(c.nodes[0], "s")
 	stop := time.Now().Add(20 * time.Second)
 	for rule.Phase != rollout.Done && time.Now().Before(stop) {
-		beat()
-		c.report(reply.RolloutRevision, rule.Number, observations(40, 0), 0)
+		sendHeartbeats()
+		c.sendRolloutReport(reply.RolloutRevision, rule.Number, observations(40, 0), 0)
 		time.Sleep(20 * time.Millisecond)
-		rule, reply = told(c.nodes[0], "s")
+		rule, reply = rolloutAt(c.nodes[0], "s")
 	}
 	require.Equal(t, rollout.Done, rule.Phase)
 	require.Eventually(t, func() bool {
-		beat()
-		_, reply := told(c.nodes[0], "s")
+		sendHeartbeats()
+		_, reply := rolloutAt(c.nodes[0], "s")
 		states := map[string]registry.State{}
 		for _, instance := range reply.Instances {
 			states[instance.ID] = instance.State
--- a/internal/directory/router_summary.go
+++ b/internal/directory/router_summary.go
@@ -2,46 +2,47 @@
 
 import "time"
 
-// Times of summing up the routers.
+// Limits on the age of the router summary.
 const (
-	// summaryLeast is the least time between two sums: while all routers start, each call is
-	// news for all others, and summing up for each would cost the square of their number.
-	summaryLeast = 25 * time.Millisecond
-	// summaryMost is how old a sum may be that nothing was reported since: routers grow
-	// silent without a word.
-	summaryMost = 100 * time.Millisecond
+	// summaryMinInterval is the minimum time between two computations: while all routers start,
+	// each call is a change for all others, and recomputing for each would cost the square of
+	// their number.
+	summaryMinInterval = 25 * time.Millisecond
+	// summaryMaxAge is the maximum age of a summary without reported changes: routers become
+	// silent without a report.
+	summaryMaxAge = 100 * time.Millisecond
 )
 
-// routerSummary is what all routers are told alike.
+// routerSummary is the part of a reply that is the same for all routers.
 type routerSummary struct {
 	routerList
-	// count is how many routers share the servers, calls what they make a second.
+	// count is how many routers share the servers, calls the rate of calls that they make.
 	count int
 	calls float64
 }
 
-// summaryKeeper sums up the routers once for all that ask, whatever their number; its owner
-// guards it.
-type summaryKeeper struct {
-	held    routerSummary
-	at      time.Time
-	changed bool
-	// made counts the sums, for tests.
-	made int
+// summaryCache computes the router summary once for all callers, whatever their number; its
+// owner synchronizes access.
+type summaryCache struct {
+	cached     routerSummary
+	computedAt time.Time
+	changed    bool
+	// computations counts the summaries computed, for tests.
+	computations int
 }
 
-// change takes in that the routers are others than those summed up.
-func (k *summaryKeeper) change() { k.changed = true }
+// invalidate records that the routers changed since the last summary.
+func (c *summaryCache) invalidate() { c.changed = true }
 
-// current returns the sum of a table, which may be summaryLeast old, or summaryMost if nothing
-// was reported since.
-func (k *summaryKeeper) current(now time.Time, table routerTable) routerSummary {
-	age := now.Sub(k.at)
-	if !k.at.IsZero() && (age < summaryLeast || !k.changed && age < summaryMost) {
-		return k.held
+// current returns the summary of a table, at most summaryMinInterval old, or summaryMaxAge if
+// nothing was reported since.
+func (c *summaryCache) current(now time.Time, table routerTable) routerSummary {
+	age := now.Sub(c.computedAt)
+	if !c.computedAt.IsZero() && (age < summaryMinInterval || !c.changed && age < summaryMaxAge) {
+		return c.cached
 	}
-	k.held = routerSummary{routerList: table.listed(now), count: len(table.within(now, routerLifetime)), calls: table.calls(now)}
-	k.at, k.changed = now, false
-	k.made++
-	return k.held
+	c.cached = routerSummary{routerList: table.list(now), count: len(table.activeWithin(now, routerLifetime)), calls: table.calls(now)}
+	c.computedAt, c.changed = now, false
+	c.computations++
+	return c.cached
 }
--- a/internal/directory/routers.go
+++ b/internal/directory/routers.go
@@ -12,94 +12,94 @@
 	"github.com/samber/lo"
 )
 
-// Times that tell whether a router is there.
+// Times that determine whether a router is live.
 const (
-	// routerLifetime is how long after its last call a router counts among those
-	// that share the servers.
+	// routerLifetime is how long after its last call a router counts among those that share the
+	// servers.
 	routerLifetime = 10 * time.Second
-	// routerLiveness is how long after it other routers ask it for something.
+	// routerLiveness is how long after its last call other routers send requests to it.
 	routerLiveness = 2500 * time.Millisecond
-	// routerShare is how recent a call is that other nodes are told of.
-	routerShare = 2 * beatShareInterval
-	// doubtLifetime is within which time doubtersNeeded routers have to tell that a
-	// router failed for it to count as absent.
-	doubtLifetime = 2 * time.Second
+	// routerShareWindow is the maximum age of a call that is shared with other nodes.
+	routerShareWindow = 2 * heartbeatShareInterval
+	// suspectReportLifetime is the time within which minSuspectReports routers must report a
+	// router as failed for it to count as absent.
+	suspectReportLifetime = 2 * time.Second
 )
 
-// doubtersNeeded is how many routers have to tell that another one failed. What one alone
-// tells may be its own fault: it is slow, or cut off from some.
-const doubtersNeeded = 2
+// minSuspectReports is how many routers must report that another one failed. A single reporter
+// may itself be at fault: it may be slow or partitioned from some routers.
+const minSuspectReports = 2
 
-// knownRouter is a router with the time of its last call, at whichever node.
+// knownRouter is a router with the time of its last call, at any node.
 type knownRouter struct {
 	Router
-	called time.Time
-	// here is when it last called this node.
-	here time.Time
-	// calls is how many calls to servers of shards it makes a second.
+	lastCall time.Time
+	// lastLocalCall is when it last called this node.
+	lastLocalCall time.Time
+	// calls is the rate of calls to servers of shards that it makes, per second.
 	calls float64
-	// doubts are when each other router told last that it failed.
-	doubts map[string]time.Time
+	// suspectedBy is when each other router last reported it as failed.
+	suspectedBy map[string]time.Time
 }
 
-// doubted reports whether several others told that the router failed, after its last
-// call: one that calls again is there.
-func (k knownRouter) doubted(now time.Time) bool {
-	return doubtersNeeded <= lo.CountBy(lo.Values(k.doubts), func(told time.Time) bool {
-		return told.After(k.called) && now.Sub(told) <= doubtLifetime+routerLiveness
+// suspected reports whether several other routers reported the router as failed after its last
+// call: a router that calls again is live.
+func (k knownRouter) suspected(now time.Time) bool {
+	return minSuspectReports <= lo.CountBy(lo.Values(k.suspectedBy), func(reportedAt time.Time) bool {
+		return reportedAt.After(k.lastCall) && now.Sub(reportedAt) <= suspectReportLifetime+routerLiveness
 	})
 }
 
-// routerTable holds the routers; its owner guards it.
+// routerTable holds the routers; its owner synchronizes access.
 type routerTable map[string]knownRouter
 
-// report takes in a call, here or at another node, and reports whether it is
-// news.
-func (t routerTable) report(now time.Time, told sharedRouter, here bool) bool {
-	called := now.Add(-told.Age)
-	known, exists := t[told.Name]
-	if exists && known.called.After(called) {
+// recordCall records a call, at this node or another, and reports whether it changed the listed
+// routers.
+func (t routerTable) recordCall(now time.Time, reported sharedRouter, local bool) bool {
+	lastCall := now.Add(-reported.Age)
+	known, exists := t[reported.Name]
+	if exists && known.lastCall.After(lastCall) {
 		return false
 	}
-	updated := knownRouter{Router: told.Router, called: called, here: known.here, calls: told.Calls}
-	if here {
-		updated.here = called
+	updated := knownRouter{Router: reported.Router, lastCall: lastCall, lastLocalCall: known.lastLocalCall, calls: reported.Calls}
+	if local {
+		updated.lastLocalCall = lastCall
 	}
-	t[told.Name] = updated
-	return !exists || known.Router != told.Router || known.doubted(now)
+	t[reported.Name] = updated
+	return !exists || known.Router != reported.Router || known.suspected(now)
 }
 
-// doubt takes in that a router told of others that failed, and reports whether one of
-// them is absent for it that was not before.
-func (t routerTable) doubt(now time.Time, told Doubt) bool {
-	news := false
-	for _, name := range told.Routers {
+// recordSuspects records a router's report of others that failed, and reports whether one of
+// them has become absent by it.
+func (t routerTable) recordSuspects(now time.Time, report Doubt) bool {
+	changed := false
+	for _, name := range report.Routers {
 		known, exists := t[name]
-		if !exists || name == told.By {
+		if !exists || name == report.By {
 			continue
 		}
-		before := known.doubted(now)
-		maps.DeleteFunc(known.doubts, func(_ string, at time.Time) bool { return now.Sub(at) > doubtLifetime })
-		if known.doubts == nil {
-			known.doubts = make(map[string]time.Time)
+		before := known.suspected(now)
+		maps.DeleteFunc(known.suspectedBy, func(_ string, at time.Time) bool { return now.Sub(at) > suspectReportLifetime })
+		if known.suspectedBy == nil {
+			known.suspectedBy = make(map[string]time.Time)
 		}
-		known.doubts[told.By] = now
+		known.suspectedBy[report.By] = now
 		t[name] = known
-		news = news || known.doubted(now) != before
+		changed = changed || known.suspected(now) != before
 	}
-	return news
+	return changed
 }
 
-// calls is how many calls to servers of shards all routers make a second.
+// calls returns the rate of calls to servers of shards that all routers make, per second.
 func (t routerTable) calls(now time.Time) float64 {
-	return lo.SumBy(t.within(now, routerLiveness), func(known sharedRouter) float64 { return known.Calls })
+	return lo.SumBy(t.activeWithin(now, routerLiveness), func(known sharedRouter) float64 { return known.Calls })
 }
 
-// within returns the routers that called within a time, ordered by name.
-func (t routerTable) within(now time.Time, limit time.Duration) []sharedRouter {
+// activeWithin returns the routers that called within a time, ordered by name.
+func (t routerTable) activeWithin(now time.Time, limit time.Duration) []sharedRouter {
 	var found []sharedRouter
 	for _, known := range t {
-		if age := now.Sub(known.called); age <= limit {
+		if age := now.Sub(known.lastCall); age <= limit {
 			found = append(found, sharedRouter{Router: known.Router, Age: max(0, age), Calls: known.calls})
 		}
 	}
@@ -107,23 +107,23 @@
 	return found
 }
 
-// direct returns the routers that called this node within a time.
-func (t routerTable) direct(now time.Time, limit time.Duration) []sharedRouter {
-	return lo.Filter(t.within(now, limit), func(found sharedRouter, _ int) bool {
-		return now.Sub(t[found.Name].here) <= limit
+// calledHere returns the routers that called this node within a time.
+func (t routerTable) calledHere(now time.Time, limit time.Duration) []sharedRouter {
+	return lo.Filter(t.activeWithin(now, limit), func(found sharedRouter, _ int) bool {
+		return now.Sub(t[found.Name].lastLocalCall) <= limit
 	})
 }
 
-// expire forgets routers that did not call for long.
+// expire removes routers that have not called within routerLifetime.
 func (t routerTable) expire(now time.Time) {
 	for name, known := range t {
-		if now.Sub(known.called) > routerLifetime {
+		if now.Sub(known.lastCall) > routerLifetime {
 			delete(t, name)
 		}
 	}
 }
 
-// routerList is what routers are told of each other.
+// routerList is the list of routers that is sent to routers.
 type routerList struct {
 	routers       []ListedRouter
 	routersDigest uint64
@@ -131,17 +131,17 @@
 	absentDigest  uint64
 }
 
-// listed returns the routers that others can reach, and which of them are absent. One
-// that stops, is silent or failed keeps its place for some time: it may only be starting
-// again.
-func (t routerTable) listed(now time.Time) routerList {
+// list returns the routers that others can reach, and which of them are absent. A router that
+// is stopping, silent or failed stays listed for routerLifetime, because it may just be
+// restarting.
+func (t routerTable) list(now time.Time) routerList {
 	var list routerList
-	for _, known := range t.within(now, routerLifetime) {
+	for _, known := range t.activeWithin(now, routerLifetime) {
 		if known.Address == "" {
 			continue
 		}
 		list.routers = append(list.routers, ListedRouter{Name: known.Name, Zone: known.Zone, Address: known.Address, Identifies: known.Identifies})
-		if known.Stopping || known.Age > routerLiveness || t[known.Name].doubted(now) {
+		if known.Stopping || known.Age > routerLiveness || t[known.Name].suspected(now) {
 			list.absent = append(list.absent, known.Name)
 		}
 	}
@@ -149,11 +149,11 @@
 	return list
 }
 
-// digestOf tells one list from another; it is never 0, which stands for none.
+// digestOf returns a digest of a list. It is never 0, which stands for none.
 func digestOf(list any) uint64 {
 	text, err := json.Marshal(list)
 	if err != nil {
-		panic(errors.Wrap(err, "a list holds only texts"))
+		panic(errors.Wrap(err, "cannot encode the list"))
 	}
 	return max(1, xxhash.Sum64(text))
 }
--- a/internal/directory/settings.go
+++ b/internal/directory/settings.go
@@ -29,17 +29,17 @@
 	MemoryLimit       int64         `long:"memory-limit" koanf:"memory-limit" default:"0" validate:"min=0" description:"Memory that garbage collection aims to stay below, bytes; 0 for none"`
 }
 
-// SeedAddresses are where nodes reach each other.
+// SeedAddresses returns the peer addresses of the seeds.
 func (o *Options) SeedAddresses() []string { return settings.WithPort(o.Seeds, o.PeerPort) }
 
-// Documents are how a node reads routing documents.
+// Documents are the functions by which a node reads routing documents.
 type Documents struct {
-	// Check reads a document and returns its version; Limits reads those of its tenants.
+	// Check parses a document and returns its version; Limits reads the limits of its tenants.
 	Check  func(text []byte) (version uint64, err error)
 	Limits func(text []byte) (map[string]quota.Limit, error)
 }
 
-// Config is the configuration of a node.
+// Config returns the configuration of a node.
 func (o *Options) Config(documents Documents) Config {
 	return Config{
 		Name: o.Name, PeerAddress: o.PeerListen, Seeds: o.SeedAddresses(), Bootstrap: o.Bootstrap,
--- a/internal/directory/sharing.go
+++ b/internal/directory/sharing.go
@@ -14,84 +14,86 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// report takes in a heartbeat that a server sent to this node.
-func (n *Node) report(instance registry.Instance) {
+// recordHeartbeat records a heartbeat that a server sent to this node.
+func (n *Node) recordHeartbeat(instance registry.Instance) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	// Under the mutex: a departure that is applied later finds the server in the table.
+	// Under the mutex, so that a departure applied later finds the server in the table.
 	if !n.registry.Knows(instance.ID) {
-		applied := n.member.state()
-		instance.Since = applied.next()
-		instance.Replaced = instance.Sequence > n.firstHeartbeats() && applied.hasLeft(registry.NameOf(instance.ID))
+		state := n.member.state()
+		instance.Since = state.nextIndex()
+		instance.Replaced = instance.Sequence > n.initialHeartbeats() && state.serverDeparted(registry.NameOf(instance.ID))
 	}
-	if n.enter(n.member.state(), instance) {
-		n.fresh[instance.ID] = true
-		n.announceSoon()
+	if n.updateTable(n.member.state(), instance) {
+		n.changedServers[instance.ID] = true
+		n.notifyRoutersSoon()
 		n.logger.WithField("instance", instance.ID).WithField("service", instance.Service).
 			WithField("address", instance.Address).WithField("state", instance.State).Info("instance_changed")
 		return
 	}
-	n.beats[instance.ID] = instance.Sequence
+	n.repeatedHeartbeats[instance.ID] = instance.Sequence
 }
 
-// firstHeartbeats is how many heartbeats a start may send until a node takes one in: as many nodes as may be
-// lost at once may not answer, or refuse it. One that is heard of first by a later heartbeat, of a server that
-// has left, may have ended: it has to go on before it gets work.
-func (n *Node) firstHeartbeats() uint64 { return uint64(n.config.Losses) + 1 }
+// initialHeartbeats is how many heartbeats a start may send before a node accepts one: as many
+// nodes as may be lost at once may not answer, or reject it. An unknown start of a departed
+// server whose first accepted heartbeat is a later one may have stopped already, so it must
+// keep sending heartbeats before it gets work.
+func (n *Node) initialHeartbeats() uint64 { return uint64(n.config.Losses) + 1 }
 
-// tellReplaced logs which instances others have replaced. The caller holds the mutex.
-func (n *Node) tellReplaced() {
+// logReplaced logs which instances were replaced by others. The caller holds the mutex.
+func (n *Node) logReplaced() {
 	for _, replaced := range n.registry.TakeReplaced() {
-		leftOut, tells := n.replacedLines.Take(steadyclock.Now())
-		if !tells {
+		suppressed, allowed := n.replacedLogLimit.Take(steadyclock.Now())
+		if !allowed {
 			continue
 		}
 		n.logger.WithFields(logrus.Fields{
-			"instance": replaced.ID, "by": replaced.By, "address": replaced.Address, "left_out": leftOut,
+			"instance": replaced.ID, "by": replaced.By, "address": replaced.Address, "left_out": suppressed,
 		}).Info("instance_replaced")
 	}
 }
 
-// enter takes what is told of an instance into the table, as leaving if a departure holds for
-// it, and reports whether routers must know of it. The caller holds the mutex.
-func (n *Node) enter(applied *machine, told registry.Instance) bool {
-	defer n.tellReplaced()
-	now, first := steadyclock.Now(), told
-	if known, exists := n.registry.Get(now, told.ID); exists && (told.Since == 0 || known.Since < told.Since) {
-		first.Since = known.Since
-	}
-	if !applied.holds(first) {
-		// What is new here came from another node, which may not have applied the departure yet.
-		told.Replaced = told.Replaced || applied.doubts(first)
-		return n.registry.Report(now, told)
-	}
-	told.State = registry.Leaving
-	changed := n.registry.Report(now, told)
-	// A report with a lower sequence than the last one says nothing of the state.
-	return n.registry.Leave(told.ID) || changed
+// updateTable updates the table with a reported instance, as leaving if a departure applies to
+// it, and reports whether routers must be notified. The caller holds the mutex.
+func (n *Node) updateTable(state *stateMachine, reported registry.Instance) bool {
+	defer n.logReplaced()
+	now, earliest := steadyclock.Now(), reported
+	if known, exists := n.registry.Get(now, reported.ID); exists && (reported.Since == 0 || known.Since < reported.Since) {
+		earliest.Since = known.Since
+	}
+	if !state.departureApplies(earliest) {
+		// An instance unknown here may come from another node that has not applied the
+		// departure yet.
+		reported.Replaced = reported.Replaced || state.mayHaveDeparted(earliest)
+		return n.registry.Report(now, reported)
+	}
+	reported.State = registry.Leaving
+	changed := n.registry.Report(now, reported)
+	// A report with a lower sequence than the last one does not update the state.
+	return n.registry.Leave(reported.ID) || changed
 }
 
-// runSharing tells the other nodes what servers said to this one, and takes the
-// table of another node over at the start.
+// runSharing sends the servers that reported to this node to the other nodes, and copies the
+// table of another node at startup.
 func (n *Node) runSharing(ctx context.Context) {
-	lastBeats := steadyclock.Now()
-	taken := make(map[string]tablePosition)
-	every(ctx, shareInterval, func() {
-		n.settle(ctx, taken)
-		withBeats := steadyclock.Since(lastBeats) >= beatShareInterval
-		if withBeats {
-			lastBeats = steadyclock.Now()
+	lastHeartbeats := steadyclock.Now()
+	positions := make(map[string]tablePosition)
+	runEvery(ctx, shareInterval, func() {
+		n.settle(ctx, positions)
+		withHeartbeats := steadyclock.Since(lastHeartbeats) >= heartbeatShareInterval
+		if withHeartbeats {
+			lastHeartbeats = steadyclock.Now()
 			n.expire()
 		}
-		message := n.takeShare(withBeats)
-		if len(message.Instances)+len(message.Beats)+len(message.Routers)+len(message.Doubts) == 0 {
+		message := n.drainShare(withHeartbeats)
+		if len(message.Instances)+len(message.Heartbeats)+len(message.Routers)+len(message.SuspectReports) == 0 {
 			return
 		}
 		n.share(ctx, message)
 	})
 }
 
-// share tells the other nodes. What is told is encoded once for all of them.
+// share sends a message to the other nodes. It is encoded once for all of them.
 func (n *Node) share(ctx context.Context, message shareMessage) {
 	body, err := encodeShared(message)
 	if err != nil {
@@ -100,38 +102,38 @@
 	}
 	for _, address := range n.peerAddresses() {
 		go func() {
-			calling, cancel := context.WithTimeout(ctx, deliverTimeout)
+			callCtx, cancel := context.WithTimeout(ctx, deliverTimeout)
 			defer cancel()
-			if err := n.peers.send(calling, address, pathShare, body); err != nil {
+			if err := n.peers.send(callCtx, address, pathShare, body); err != nil {
 				n.logger.WithField("node", address).WithField("reason", err).Debug("not_shared")
 			}
 		}()
 	}
 }
 
-// takeShare empties the sets of what is to be told.
-func (n *Node) takeShare(withBeats bool) shareMessage {
+// drainShare returns the changes to share and clears them.
+func (n *Node) drainShare(withHeartbeats bool) shareMessage {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	wanted := maps.Clone(n.fresh)
-	clear(n.fresh)
-	for id := range wanted {
-		delete(n.beats, id)
+	changed := maps.Clone(n.changedServers)
+	clear(n.changedServers)
+	for id := range changed {
+		delete(n.repeatedHeartbeats, id)
 	}
-	message := shareMessage{Settled: n.settled, Doubts: n.doubts}
-	n.doubts = nil
+	message := shareMessage{Settled: n.settled, SuspectReports: n.suspectReports}
+	n.suspectReports = nil
 	now := steadyclock.Now()
-	if withBeats {
-		for _, id := range slices.Sorted(maps.Keys(n.beats)) {
-			message.Beats = append(message.Beats, beat{ID: id, Sequence: n.beats[id]})
+	if withHeartbeats {
+		for _, id := range slices.Sorted(maps.Keys(n.repeatedHeartbeats)) {
+			message.Heartbeats = append(message.Heartbeats, sharedHeartbeat{ID: id, Sequence: n.repeatedHeartbeats[id]})
 		}
-		clear(n.beats)
-		message.Routers = n.routers.direct(now, routerShare)
+		clear(n.repeatedHeartbeats)
+		message.Routers = n.routers.calledHere(now, routerShareWindow)
 	}
-	if len(wanted) == 0 {
+	if len(changed) == 0 {
 		return message
 	}
-	for _, id := range slices.Sorted(maps.Keys(wanted)) {
+	for _, id := range slices.Sorted(maps.Keys(changed)) {
 		if instance, known := n.registry.Get(now, id); known && (instance.State != registry.Missing || instance.Replaced) {
 			message.Instances = append(message.Instances, instance)
 		}
@@ -139,59 +141,59 @@
 	return message
 }
 
-// takeIn merges what another node told.
-func (n *Node) takeIn(message shareMessage) {
+// mergeShare merges a message shared by another node.
+func (n *Node) mergeShare(message shareMessage) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	applied := n.member.state()
+	state := n.member.state()
 	now := steadyclock.Now()
 	changed := false
 	for _, instance := range message.Instances {
-		changed = n.enter(applied, instance) || changed
+		changed = n.updateTable(state, instance) || changed
 	}
-	for _, repeated := range message.Beats {
+	for _, repeated := range message.Heartbeats {
 		changed = n.registry.Refresh(now, repeated.ID, repeated.Sequence) || changed
-		n.lacking = n.lacking || !n.registry.Knows(repeated.ID)
+		n.tableIncomplete = n.tableIncomplete || !n.registry.Knows(repeated.ID)
 	}
-	n.tellReplaced()
-	others := false
+	n.logReplaced()
+	routersChanged := false
 	for _, router := range message.Routers {
-		others = n.routers.report(now, router, false) || others
+		routersChanged = n.routers.recordCall(now, router, false) || routersChanged
 	}
-	for _, told := range message.Doubts {
-		others = n.routers.doubt(now, told) || others
+	for _, report := range message.SuspectReports {
+		routersChanged = n.routers.recordSuspects(now, report) || routersChanged
 	}
-	if others {
-		n.routersChanged()
+	if routersChanged {
+		n.markRoutersChanged()
 	}
 	if changed {
-		n.announceSoon()
+		n.notifyRoutersSoon()
 	}
 }
 
-// doubtRouters takes in that routers failed, from one that asked them.
-func (n *Node) doubtRouters(told Doubt) {
+// suspectRouters records a router's report that other routers failed to answer it.
+func (n *Node) suspectRouters(report Doubt) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	told.Routers = lo.Slice(told.Routers, 0, maxDoubted)
-	if len(n.doubts) < maxDoubtsShared {
-		n.doubts = append(n.doubts, told)
+	report.Routers = lo.Slice(report.Routers, 0, maxSuspectedRouters)
+	if len(n.suspectReports) < maxSharedSuspectReports {
+		n.suspectReports = append(n.suspectReports, report)
 	}
-	if n.routers.doubt(steadyclock.Now(), told) {
-		n.routersChanged()
-		n.logger.WithField("by", told.By).WithField("routers", strings.Join(told.Routers, " ")).Info("routers_doubted")
+	if n.routers.recordSuspects(steadyclock.Now(), report) {
+		n.markRoutersChanged()
+		n.logger.WithField("by", report.By).WithField("routers", strings.Join(report.Routers, " ")).Info("routers_doubted")
 	}
 }
 
-// Bounds of what routers tell of others.
+// Limits on reports of failed routers.
 const (
-	// maxDoubted is how many routers one may tell of at once.
-	maxDoubted = 64
-	// maxDoubtsShared is how many such messages are passed on in one interval.
-	maxDoubtsShared = 256
+	// maxSuspectedRouters is how many routers one report may name.
+	maxSuspectedRouters = 64
+	// maxSharedSuspectReports is how many reports are shared in one interval.
+	maxSharedSuspectReports = 256
 )
 
-// stateReplaced is the label of instances that other starts of their servers have replaced.
+// stateReplaced is the metric label for instances replaced by other starts of their servers.
 const stateReplaced = "replaced"
 
 func (n *Node) expire() {
@@ -200,7 +202,7 @@
 	now := steadyclock.Now()
 	n.routers.expire(now)
 	if n.registry.Expire(now) {
-		n.announceSoon()
+		n.notifyRoutersSoon()
 	}
 	for _, state := range []registry.State{registry.Ready, registry.Leaving, registry.Missing} {
 		n.metrics.instances.WithLabelValues(string(state)).Set(float64(n.registry.Count(state)))
@@ -208,40 +210,40 @@
 	n.metrics.instances.WithLabelValues(stateReplaced).Set(float64(n.registry.CountReplaced()))
 }
 
-// runDepartures marks in the table who is known to leave by the replicated log,
-// and wakes routers when the document changed.
+// runDepartures marks in the table the servers that departed according to the replicated log,
+// and notifies routers of state changes, such as a new document.
 func (n *Node) runDepartures(ctx context.Context) {
-	position, named := 0, uint64(0)
+	position, nameIndex := 0, uint64(0)
 	var evacuations, quarantined uint64
 	phases := make(map[uint64]rollout.Phase)
 	for {
-		applied, replaced := n.member.state(), n.member.wasReplaced()
-		version, _, changed := applied.document()
-		ids, next := applied.departures(position)
+		state, replaced := n.member.state(), n.member.machineReplaced()
+		version, _, changed := state.document()
+		ids, next := state.departures(position)
 		position = next
-		names := applied.departedNames(named)
-		n.tellDepartures(ids, names)
+		names := state.departedNames(nameIndex)
+		n.logDepartures(ids, names)
 		n.metrics.version.Set(float64(version))
-		evacuations = n.tellEvacuations(applied, evacuations)
-		quarantined = n.countQuarantine(applied, quarantined)
-		n.retireOld(applied, phases)
+		evacuations = n.reportEvacuations(state, evacuations)
+		quarantined = n.countQuarantine(state, quarantined)
+		n.markReplacedServers(state, phases)
 		n.mutex.Lock()
 		for _, id := range ids {
 			n.registry.Leave(id)
 		}
-		for _, left := range names {
-			n.registry.LeaveName(left)
-			named = max(named, left.Before)
+		for _, departure := range names {
+			n.registry.LeaveName(departure)
+			nameIndex = max(nameIndex, departure.Before)
 		}
-		n.tellReplaced()
-		n.announce()
+		n.logReplaced()
+		n.notifyRouters()
 		n.mutex.Unlock()
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
 		case <-replaced:
-			position, named = 0, 0
+			position, nameIndex = 0, 0
 		}
 	}
 }
--- a/internal/directory/state_watch_test.go
+++ b/internal/directory/state_watch_test.go
@@ -11,7 +11,7 @@
 	"github.com/martenstage/martenstage/internal/registry"
 )
 
-// follower returns a node of the cluster that does not lead.
+// follower returns the index of a node that does not lead.
 func (c *cluster) follower() int {
 	c.t.Helper()
 	found := -1
@@ -22,14 +22,14 @@
 	return found
 }
 
-// logs reports whether a node logged a message.
-func (c *cluster) logs(index int, message string) bool {
+// hasLogged reports whether a node logged a message.
+func (c *cluster) hasLogged(index int, message string) bool {
 	return lo.ContainsBy(c.logged[index].AllEntries(), func(entry *logrus.Entry) bool { return entry.Message == message })
 }
 
-// TestANodeBehindTheLogSaysSo stalls the disk of a node while a server departs: the node logs
-// that its state is behind and what holds it up, and when it has caught up.
-func TestANodeBehindTheLogSaysSo(t *testing.T) {
+// TestNodeBehindTheLogLogsItsState stalls the disk of a node while a server departs: the node
+// logs that its state is behind and the cause, and later that it has caught up.
+func TestNodeBehindTheLogLogsItsState(t *testing.T) {
 	c := newCluster(t, 3)
 	c.losses = 1
 	c.startAll(true)
@@ -40,10 +40,12 @@
 	release := c.disks[slow].Stall()
 	defer release()
 	require.NoError(t, c.nodes[other].Depart(context.Background(), "i1", 0))
-	c.eventually("nothing is logged", func(*runningNode) bool { return c.logs(slow, "state_behind") })
-	told, _ := lo.Find(c.logged[slow].AllEntries(), func(entry *logrus.Entry) bool { return entry.Message == "state_behind" })
-	require.Equal(t, "disk_slow", told.Data["cause"])
-	require.False(t, c.logs(slow, "departures_applied"))
+	c.eventually("nothing is logged", func(*runningNode) bool { return c.hasLogged(slow, "state_behind") })
+	logged, _ := lo.Find(c.logged[slow].AllEntries(), func(entry *logrus.Entry) bool { return entry.Message == "state_behind" })
+	require.Equal(t, "disk_slow", logged.Data["cause"])
+	require.False(t, c.hasLogged(slow, "departures_applied"))
 	release()
-	c.eventually("not caught up", func(*runningNode) bool { return c.logs(slow, "state_caught_up") && c.logs(slow, "departures_applied") })
+	c.eventually("not caught up", func(*runningNode) bool {
+		return c.hasLogged(slow, "state_caught_up") && c.hasLogged(slow, "departures_applied")
+	})
 }
--- a/internal/directory/table_file.go
+++ b/internal/directory/table_file.go
@@ -11,50 +11,49 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// tableFile keeps the servers and routers that a node knew, so that a site whose
-// control nodes were all down serves again before every server has announced
-// itself anew. It is a hint: servers in it become missing like others, an attempt
-// names the instance that it is meant for, and who left is in the log.
+// tableFile stores the servers and routers known to a node, so that a site whose control nodes
+// were all down serves again before every server has sent a heartbeat. It is only a hint:
+// servers in it become missing like others, an attempt names the instance that it is meant for,
+// and departures are in the log.
 const tableFile = "servers.json"
 
-// restoreTable takes the servers of the file in as if they were heard of now.
+// restoreTable loads the servers of the file as if they had just been reported.
 func (n *Node) restoreTable() {
 	data, err := os.ReadFile(filepath.Join(n.config.Folder, tableFile))
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
-	var kept shareMessage
+	var saved shareMessage
 	if err == nil {
-		err = json.Unmarshal(data, &kept)
+		err = json.Unmarshal(data, &saved)
 	}
 	if err != nil {
 		n.logger.WithError(err).Warn("server_table_not_read")
 		return
 	}
-	for index := range kept.Instances {
-		kept.Instances[index].Age, kept.Instances[index].Restored = 0, true
+	for index := range saved.Instances {
+		saved.Instances[index].Age, saved.Instances[index].Restored = 0, true
 	}
-	for index := range kept.Routers {
-		// They count among those that share the servers, but are not asked before
-		// they called.
-		kept.Routers[index].Age = routerLiveness
+	for index := range saved.Routers {
+		// They count among those that share the servers, but get no requests before they call.
+		saved.Routers[index].Age = routerLiveness
 	}
-	n.takeIn(kept)
-	n.logger.WithField("instances", len(kept.Instances)).WithField("routers", len(kept.Routers)).Info("server_table_restored")
+	n.mergeShare(saved)
+	n.logger.WithField("instances", len(saved.Instances)).WithField("routers", len(saved.Routers)).Info("server_table_restored")
 }
 
 // runTableFile writes the table when it has changed.
 func (n *Node) runTableFile(ctx context.Context) {
 	var written uint64
 	var routers int
-	every(ctx, tableInterval, func() {
+	runEvery(ctx, tableWriteInterval, func() {
 		n.mutex.Lock()
-		revision, live := n.registry.Revision(), len(n.routers.within(steadyclock.Now(), routerLifetime))
+		revision, live := n.registry.Revision(), len(n.routers.activeWithin(steadyclock.Now(), routerLifetime))
 		n.mutex.Unlock()
 		if revision == written && live == routers {
 			return
 		}
-		data, err := json.Marshal(n.table(tablePosition{}).shareMessage)
+		data, err := json.Marshal(n.tableSince(tablePosition{}).shareMessage)
 		if err == nil {
 			err = replaceFile(n.config.Folder, tableFile, data)
 		}
--- a/internal/directory/takeover.go
+++ b/internal/directory/takeover.go
@@ -9,22 +9,21 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// Times of taking over the tables of other nodes.
+// Timeouts and intervals for copying the tables of other nodes.
 const (
-	// settleTime is for how long a node that has just started waits for all others: each
-	// may lack what was told while it was cut off.
-	settleTime = time.Second
-	// reconcileInterval is how often a node looks whether it lacks a server.
+	// settleTimeout is how long a node that has just started waits for all other nodes: each
+	// may lack what was shared while it was partitioned.
+	settleTimeout = time.Second
+	// reconcileInterval is how often a node checks whether its table is incomplete.
 	reconcileInterval = time.Second
-	// takeOverTimeout bounds a call for a table.
-	takeOverTimeout = 500 * time.Millisecond
+	// copyTableTimeout bounds a call for a table.
+	copyTableTimeout = 500 * time.Millisecond
 )
 
-// settle takes over the tables of the other nodes until all of them answered, or for
-// settleTime, and one was settled; or until every server had time to announce itself.
-// Only the first answer of a node is its whole table; taken holds how far each was taken
-// over.
-func (n *Node) settle(ctx context.Context, taken map[string]tablePosition) {
+// settle copies the tables of the other nodes until one was settled and all of them have
+// answered or settleTimeout has passed, or until every server had time to announce itself. Only
+// the first reply of a node is its complete table; positions holds how far each was copied.
+func (n *Node) settle(ctx context.Context, positions map[string]tablePosition) {
 	n.mutex.Lock()
 	settled := n.settled
 	n.mutex.Unlock()
@@ -37,46 +36,46 @@
 	}
 	from, all := "", true
 	for _, address := range n.peerAddresses() {
-		otherSettled, err := n.takeOver(ctx, address, taken, shareInterval)
+		otherSettled, err := n.copyTable(ctx, address, positions, shareInterval)
 		all = all && err == nil
 		if otherSettled {
 			from = address
 		}
 	}
-	if from != "" && (all || steadyclock.Since(n.started) > settleTime) {
+	if from != "" && (all || steadyclock.Since(n.started) > settleTimeout) {
 		n.setSettled(from)
 	}
 }
 
-// takeOver takes in what another node knows of servers beyond what was taken over before,
-// and returns whether that node is settled.
-func (n *Node) takeOver(ctx context.Context, address string, taken map[string]tablePosition, timeout time.Duration) (bool, error) {
-	calling, cancel := context.WithTimeout(ctx, timeout)
+// copyTable merges the servers that another node knows beyond the position copied so far, and
+// returns whether that node is settled.
+func (n *Node) copyTable(ctx context.Context, address string, positions map[string]tablePosition, timeout time.Duration) (bool, error) {
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var reply tableReply
-	if err := n.peers.call(calling, address, pathRegistry, taken[address], &reply); err != nil {
+	if err := n.peers.call(callCtx, address, pathRegistry, positions[address], &reply); err != nil {
 		return false, err
 	}
-	taken[address] = reply.Position
-	n.takeIn(reply.shareMessage)
+	positions[address] = reply.Position
+	n.mergeShare(reply.shareMessage)
 	return reply.Settled, nil
 }
 
-// runReconciling takes over the tables of the other nodes whenever one of them told that
-// a server repeated itself which this node does not know: what it first said was lost on
-// its way, in a cut for instance, and would not be told again.
+// runReconciling copies the tables of the other nodes whenever one of them has shared a plain
+// heartbeat of a server unknown to this node: the message with that server was lost, for
+// example in a partition, and would not be sent again.
 func (n *Node) runReconciling(ctx context.Context) {
-	taken := make(map[string]tablePosition)
-	every(ctx, reconcileInterval, func() {
+	positions := make(map[string]tablePosition)
+	runEvery(ctx, reconcileInterval, func() {
 		n.mutex.Lock()
-		lacking, before := n.lacking, n.registry.Revision()
-		n.lacking = false
+		incomplete, before := n.tableIncomplete, n.registry.Revision()
+		n.tableIncomplete = false
 		n.mutex.Unlock()
-		if !lacking {
+		if !incomplete {
 			return
 		}
 		for _, address := range n.peerAddresses() {
-			if _, err := n.takeOver(ctx, address, taken, takeOverTimeout); err != nil {
+			if _, err := n.copyTable(ctx, address, positions, copyTableTimeout); err != nil {
 				n.logger.WithField("node", address).WithField("reason", err).Info("table_not_taken_over")
 			}
 		}
@@ -93,24 +92,24 @@
 	n.logger.WithField("from", from).WithField("instances", n.registry.Count(registry.Ready)).Info("registry_settled")
 }
 
-// table returns what this node knows of servers beyond a position in its table; all
-// of it for a position of another source.
-func (n *Node) table(known tablePosition) tableReply {
+// tableSince returns the servers that this node knows beyond a position in its table, or all of
+// them for a position of another source.
+func (n *Node) tableSince(position tablePosition) tableReply {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	now := steadyclock.Now()
 	reply := tableReply{Position: tablePosition{Source: n.source, Revision: n.registry.Revision()}}
 	reply.Settled = n.settled
-	if known == reply.Position {
+	if position == reply.Position {
 		return reply
 	}
 	since := uint64(0)
-	if known.Source == n.source {
-		since = known.Revision
+	if position.Source == n.source {
+		since = position.Revision
 	}
 	reply.Instances = slices.DeleteFunc(n.registry.Since(now, since), func(instance registry.Instance) bool {
 		return instance.State == registry.Missing && !instance.Replaced
 	})
-	reply.Routers = n.routers.within(now, routerLifetime)
+	reply.Routers = n.routers.activeWithin(now, routerLifetime)
 	return reply
 }
