--- a/internal/scatter/breaking.go
+++ b/internal/scatter/breaking.go
@@ -2,92 +2,92 @@
 
 import "github.com/martenstage/martenstage/internal/verdict"
 
-// heldAfter is how many attempts of a request that gathers may break off, with no server
-// having answered, before it gets no further ones until one answers: it may be what ends
-// its servers, and each repeat would end the second server of a shard as well. Its first
-// attempts are out by then; to bound those, all requests would have to wait for one server
-// first, by which the median of sweeps rose from 40 to 55 ms and that of lookups over all
-// shards from 23 to 30 (design 0019).
-const heldAfter = 2
+// maxBrokenBeforeHold is how many attempts of a gathering request may break off, with no
+// server having answered, before its further attempts are held until one does. The request
+// itself may be crashing its servers, and each repeat could crash the second server of a shard
+// as well. Its first attempts have all been sent by then; to bound those too, every request
+// would have to wait for one server first, which raised the median of sweeps from 40 to 55 ms
+// and that of lookups over all shards from 23 to 30 ms (design 0019).
+const maxBrokenBeforeHold = 2
 
-// observe takes in what an attempt tells of whether the request ends its servers.
-func (r *request) observe(outcome Outcome) {
+// countBroken records whether an attempt suggests that the request crashes its servers.
+func (r *request) countBroken(outcome Outcome) {
 	switch outcome.Failure {
 	case NoFailure:
 		r.replied = true
 	case Broken, Unaccepted:
-		r.broken++
+		r.brokenAttempts++
 	}
 }
 
-// holds reports whether a request gets no further attempts for now.
-func (r *request) holds() bool {
-	return r.route.Gathers() && !r.replied && r.broken >= heldAfter
+// mustHold reports whether further attempts of the request are held for now.
+func (r *request) mustHold() bool {
+	return r.route.Gathers() && !r.replied && r.brokenAttempts >= maxBrokenBeforeHold
 }
 
-// hold keeps a call back until a server has answered the request, or none can any more.
-func (e *Engine) hold(called *call) {
-	if called.held {
+// hold defers a call until a server has answered the request, or none can any more.
+func (e *Engine) hold(c *call) {
+	if c.held {
 		return
 	}
-	called.held = true
-	called.request.held++
-	e.note(called, Step{Kind: StepHeld})
+	c.held = true
+	c.request.heldCalls++
+	e.note(c, Step{Kind: StepHeld})
 }
 
-// reviewHeld sends what was held once a server has answered the request, and gives it up
-// when no attempt is out that could, with what waits for room.
-func (e *Engine) reviewHeld(waiting *request) {
-	holds := waiting.holds()
-	if waiting.answered || !holds && waiting.held == 0 || holds && waiting.hasLive() {
+// releaseHeld dispatches held calls once a server has answered the request. If no attempt that
+// could still be answered is in flight, it settles the held and the queued calls instead.
+func (e *Engine) releaseHeld(pending *request) {
+	holds := pending.mustHold()
+	if pending.answered || !holds && pending.heldCalls == 0 || holds && pending.hasInFlight() {
 		return
 	}
-	for _, called := range waiting.calls {
+	for _, c := range pending.calls {
 		switch {
-		case called.settled || !called.held && !called.waiting:
+		case c.settled || !c.held && !c.queued:
 		case holds:
-			e.settle(called)
-		case called.held:
-			called.held = false
-			waiting.held--
-			e.dispatchExtra(called)
+			e.settle(c)
+		case c.held:
+			c.held = false
+			pending.heldCalls--
+			e.dispatchExtra(c)
 		}
 	}
-	e.decide(waiting)
+	e.decide(pending)
 }
 
-func (r *request) hasLive() bool {
-	for _, called := range r.calls {
-		if len(called.live) > 0 {
+func (r *request) hasInFlight() bool {
+	for _, c := range r.calls {
+		if len(c.inFlight) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// withdraw ends a request that is quarantined. What it still has out is aborted at once, so
-// that a server drops what it has not begun.
+// withdraw ends a quarantined request. Its attempts in flight are aborted at once, so that a
+// server drops the work that it has not begun.
 func (e *Engine) withdraw(id RequestID) {
-	waiting, ok := e.requests[id]
+	pending, ok := e.requests[id]
 	if !ok {
 		return
 	}
-	for _, called := range waiting.calls {
-		for _, out := range called.live {
-			e.emit(Abort{Attempt: out.id})
+	for _, c := range pending.calls {
+		for _, a := range c.inFlight {
+			e.emit(Abort{Attempt: a.id})
 		}
 	}
-	result := e.result(waiting)
-	result.Verdict, result.Reason, result.Missing = waiting.verdict(), verdict.ReasonQuarantined, waiting.missing()
-	e.respond(waiting, result)
+	result := e.result(pending)
+	result.Verdict, result.Reason, result.Missing = pending.verdict(), verdict.ReasonQuarantined, pending.missing()
+	e.respond(pending, result)
 }
 
 // missing returns the positions of the calls without a part.
 func (r *request) missing() []int {
 	var positions []int
-	for _, called := range r.calls {
-		if called.part == nil {
-			positions = append(positions, called.position)
+	for _, c := range r.calls {
+		if c.part == nil {
+			positions = append(positions, c.position)
 		}
 	}
 	return positions
--- a/internal/scatter/breaking_test.go
+++ b/internal/scatter/breaking_test.go
@@ -11,7 +11,7 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// shards makes two servers of each of some shards known and returns their names.
+// shards adds two servers for each of a number of shards and returns the names of the shards.
 func (h *harness) shards(count int) []string {
 	var names []string
 	for number := range count {
@@ -22,11 +22,12 @@
 	return names
 }
 
-// TestRequestWhoseAttemptsBreakOffGetsNoFurtherOnes has all attempts of a sweep break off:
-// no second server of a shard is asked but for those that broke off first, and the answer
-// comes with the last of them.
+// TestRequestWhoseAttemptsBreakOffGetsNoFurtherOnes guards against a request that crashes its
+// servers being repeated at the second server of each shard. All attempts of a sweep break
+// off: only the first that broke off is repeated, and the answer comes with the end of that
+// repeat.
 func TestRequestWhoseAttemptsBreakOffGetsNoFurtherOnes(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	id := h.arrive(gatherRoute(h.shards(6)...))
 	first := h.take()
 	require.Len(t, first, 6)
@@ -44,10 +45,10 @@
 	require.Len(t, result.Missing, 6)
 }
 
-// TestHeldAttemptsGoOutOnceAServerAnswers has two servers of a sweep end for another reason:
-// the calls that were held are repeated with the first answer.
-func TestHeldAttemptsGoOutOnceAServerAnswers(t *testing.T) {
-	h := newHarness(t, plenty)
+// TestHeldAttemptsAreSentOnceAServerAnswers has attempts of a sweep break off although the
+// request isn't the cause: the held calls are repeated once a server has answered.
+func TestHeldAttemptsAreSentOnceAServerAnswers(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	id := h.arrive(gatherRoute(h.shards(4)...))
 	first := h.take()
 	for _, sent := range first[:3] {
@@ -64,9 +65,9 @@
 	require.Empty(t, h.result(id).Missing)
 }
 
-// TestHeldRequestIsNotHedged lets an attempt stay out while others broke off.
+// TestHeldRequestIsNotHedged keeps some attempts in flight while others broke off.
 func TestHeldRequestIsNotHedged(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	id := h.arrive(gatherRoute(h.shards(4)...))
 	first := h.take()
 	for _, sent := range first[:2] {
@@ -78,10 +79,10 @@
 	h.unanswered(id)
 }
 
-// TestSingleRequestIsRepeatedAfterItBrokeOff: a server that ends for another reason costs a
-// request to one service no answer.
+// TestSingleRequestIsRepeatedAfterItBrokeOff: a server that stops for another reason must not
+// cost a single-service request its answer.
 func TestSingleRequestIsRepeatedAfterItBrokeOff(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 2)
 	id := h.arrive(singleRoute(true))
 	h.end(h.take()[0], failure(scatter.Broken, verdict.MayHaveRun))
@@ -89,10 +90,10 @@
 	require.NotNil(t, h.result(id).Reply)
 }
 
-// TestWithdrawnRequestEndsAtOnce withdraws a request with attempts out and calls that wait
-// for room: what is out is aborted, and nothing more is sent.
+// TestWithdrawnRequestEndsAtOnce withdraws a request with attempts in flight and calls that
+// wait for a server: the attempts are aborted, and nothing more is sent.
 func TestWithdrawnRequestEndsAtOnce(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	names := h.shards(3)
 	id := h.arrive(gatherRoute(append(names, "unknown")...))
 	sent := h.take()
@@ -110,9 +111,9 @@
 	h.step(scatter.Withdrawn{Request: id})
 }
 
-// TestWithdrawnRequestThatWasNotSentHasNotRun withdraws one that waits for a server.
+// TestWithdrawnRequestThatWasNotSentHasNotRun withdraws a request that waits for a server.
 func TestWithdrawnRequestThatWasNotSentHasNotRun(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	id := h.arrive(singleRoute(false))
 	h.step(scatter.Withdrawn{Request: id})
 	require.Equal(t, verdict.NotRun, h.result(id).Verdict)
--- a/internal/scatter/budget_test.go
+++ b/internal/scatter/budget_test.go
@@ -12,9 +12,8 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// TestExtraAttemptsOfAllRoutersStayWithinTheBudget drives several routers, some
-// of which are started again, against servers that never answer, and looks at
-// every window.
+// TestExtraAttemptsOfAllRoutersStayWithinTheBudget runs several routers, some of which
+// restart, against servers that never answer, and checks the limit in every window.
 func TestExtraAttemptsOfAllRoutersStayWithinTheBudget(t *testing.T) {
 	const window = 10 * time.Second
 	limits := scatter.BudgetLimits{Ratio: 0.2, Slack: 56}
@@ -78,9 +77,9 @@
 	return count
 }
 
-// TestRoutersThatGatherAShardHoldItsBudget gives the routers that ask a shard in
-// the ordinary course more of what its servers allow than an equal part.
-func TestRoutersThatGatherAShardHoldItsBudget(t *testing.T) {
+// TestGatherersGetALargerShareOfTheBudget checks that routers which normally send to a shard
+// get more than an equal share of its budget.
+func TestGatherersGetALargerShareOfTheBudget(t *testing.T) {
 	const routers, gatherers = 16, 4
 	hedges := func(self bool) int {
 		h := newHarness(t, scatter.BudgetLimits{Ratio: 0.2, Slack: 56})
@@ -107,11 +106,11 @@
 	require.LessOrEqual(t, hedges(false), 2)
 }
 
-// TestConnectionsAreSharedByThoseThatGather lets few gatherers use the
-// connections that a server accepts.
-func TestConnectionsAreSharedByThoseThatGather(t *testing.T) {
+// TestConnectionsAreSharedByGatherers checks that a few gatherers may use the connections that
+// a server accepts.
+func TestConnectionsAreSharedByGatherers(t *testing.T) {
 	inFlight := func(gatherers scatter.Gatherers) int {
-		h := newHarness(t, plenty)
+		h := newHarness(t, ampleBudget)
 		h.step(scatter.RoutersCounted{Count: 64})
 		h.step(scatter.DocumentChanged{Services: []routing.Service{{Name: "s", MaxConnections: 54}}})
 		h.step(scatter.GatherersCounted{Gatherers: map[string]scatter.Gatherers{"s": gatherers}})
--- a/internal/scatter/claims_test.go
+++ b/internal/scatter/claims_test.go
@@ -10,7 +10,7 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// arriveForAnother submits the shard s for another router, which counts attempts.
+// arriveForAnother submits the shard s on behalf of another router, which counts attempts.
 func (h *harness) arriveForAnother(earlier int) scatter.RequestID {
 	h.last++
 	route := gatherRoute("s")
@@ -22,7 +22,7 @@
 }
 
 func TestHedgeForAnotherRouterWaitsUntilItIsGranted(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 3)
 	id := h.arriveForAnother(0)
 	require.Len(t, h.take(), 1)
@@ -38,7 +38,7 @@
 
 func TestRetryForAnotherRouterWaitsUntilItIsGranted(t *testing.T) {
 	for _, refused := range []bool{false, true} {
-		h := newHarness(t, plenty)
+		h := newHarness(t, ampleBudget)
 		h.servers("s", 3)
 		id := h.arriveForAnother(0)
 		h.end(h.take()[0], failure(scatter.Broken, verdict.MayHaveRun))
@@ -53,10 +53,10 @@
 	}
 }
 
-// TestAttemptIsClaimedAheadOfItsHedge has a claim be granted at once: the hedge goes out
-// when it is due and not before, and a call that ends first sends nothing.
+// TestAttemptIsClaimedAheadOfItsHedge has a claim granted at once: the hedge is sent when it
+// is due and not before, and a call that ends first sends nothing.
 func TestAttemptIsClaimedAheadOfItsHedge(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 3)
 	id := h.arriveForAnother(0)
 	h.take()
@@ -77,7 +77,7 @@
 }
 
 func TestRefusedHedgeLeavesTheFirstAttempt(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 3)
 	id := h.arriveForAnother(0)
 	sent := h.take()
@@ -85,15 +85,15 @@
 	h.step(scatter.Granted{Request: id, Shards: []int{0}, Refused: true})
 	h.unanswered(id)
 	h.end(sent[0], failure(scatter.Broken, verdict.MayHaveRun))
-	require.Equal(t, []int{0}, h.result(id).Missing, "it was refused already")
+	require.Equal(t, []int{0}, h.result(id).Missing, "the hedge was refused before")
 }
 
-func TestStandInSendsItsFirstAttemptWithoutAGrant(t *testing.T) {
-	h := newHarness(t, plenty)
+func TestBackupSendsItsFirstAttemptWithoutAGrant(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 3)
 	h.arriveForAnother(1)
 	require.Len(t, h.take(), 1)
 	h.advance(500 * time.Millisecond)
 	require.Empty(t, h.take())
-	require.Empty(t, h.claims, "nothing is left to be claimed")
+	require.Empty(t, h.claims, "no attempt is left to claim")
 }
--- a/internal/scatter/cold_test.go
+++ b/internal/scatter/cold_test.go
@@ -14,10 +14,10 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// coldHarness is a router whose service s bounds what its cold servers get.
+// coldHarness is a router whose service s bounds the request rate of its cold servers.
 func coldHarness(t reporter, rate float64, limits scatter.ColdLimits) *harness {
-	h := newHarness(t, plenty)
-	h.engine = scatter.New(scatter.Config{Zone: "a", Seed: 1, Budget: plenty, Cold: limits})
+	h := newHarness(t, ampleBudget)
+	h.engine = scatter.New(scatter.Config{Zone: "a", Seed: 1, Budget: ampleBudget, Cold: limits})
 	h.step(scatter.DocumentChanged{Services: []routing.Service{{Name: "s", ColdRate: rate}}})
 	return h
 }
@@ -28,10 +28,10 @@
 	}}})
 }
 
-// TestColdServersGetNoMoreThanTheyBear has routers that gather a shard, or all of them
-// where it is no shard, get requests in bursts: in any second a cold server gets no more
-// of all of them than its service allows.
-func TestColdServersGetNoMoreThanTheyBear(t *testing.T) {
+// TestColdServersStayWithinTheirRate sends bursts of requests to the routers that gather a
+// shard, or to all routers if it is no shard: in any second a cold server gets no more from
+// all of them than its service allows.
+func TestColdServersStayWithinTheirRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.SampledFrom([]float64{2, 8, 25, 100}).Draw(t, "rate")
 		limits := scatter.ColdLimits{Over: 1.5, Slack: 5}
@@ -94,7 +94,7 @@
 	require.Greater(t, count["s/0"], 300)
 }
 
-func TestWhatNoServerBearsIsRefusedAtOnce(t *testing.T) {
+func TestRequestBeyondTheColdRateIsRefusedAtOnce(t *testing.T) {
 	h := coldHarness(t, 10, scatter.ColdLimits{Over: 1.5, Slack: 5})
 	h.cold("cold", time.Minute)
 	id := h.arrive(singleRoute(true))
@@ -102,7 +102,7 @@
 	require.Positive(t, h.result(id).RetryAfter)
 }
 
-func TestServerThatSaysItIsColdIsBelieved(t *testing.T) {
+func TestServerThatReportsThatItIsColdIsLimited(t *testing.T) {
 	h := coldHarness(t, 2, scatter.ColdLimits{Over: 1, Slack: 0})
 	h.servers("s", 2)
 	h.advance(time.Second)
@@ -120,8 +120,8 @@
 	}
 }
 
-func TestServerThatSaysItIsSlowIsLessWelcomeForAMoment(t *testing.T) {
-	h := newHarness(t, plenty)
+func TestReportedSlownessLowersPreferenceBriefly(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 2)
 	loaded := func(slowness float64) scatter.Outcome {
 		outcome := good("x")
@@ -147,12 +147,13 @@
 	}
 }
 
-// TestServerThatSaidItIsSlowIsRememberedForLonger has the server of the own zone be twenty
-// times slower and say so: a second later, when that counts no more, the other is taken.
-func TestServerThatSaidItIsSlowIsRememberedForLonger(t *testing.T) {
-	h := newHarness(t, plenty)
+// TestSlowServerIsAvoidedAfterItsReportExpires makes the server of the own zone twenty times
+// slower and has it report so: a second later, when the report has expired, the other server
+// is chosen.
+func TestSlowServerIsAvoidedAfterItsReportExpires(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	h.twoZones()
-	ask := func(slowness float64) string {
+	request := func(slowness float64) string {
 		h.arrive(singleRoute(false))
 		sent := h.take()[0]
 		took, outcome := 20*time.Millisecond, good("x")
@@ -165,11 +166,11 @@
 		return sent.Server.ID
 	}
 	for range 50 {
-		require.Equal(t, "s/a", ask(1))
+		require.Equal(t, "s/a", request(1))
 	}
 	for range 20 {
-		ask(20)
+		request(20)
 	}
 	h.advance(time.Second)
-	require.Equal(t, "s/b", ask(20))
+	require.Equal(t, "s/b", request(20))
 }
--- a/internal/scatter/decide.go
+++ b/internal/scatter/decide.go
@@ -7,119 +7,121 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// decide ends a request once waiting longer is of no use.
-func (e *Engine) decide(waiting *request) {
-	over := !e.now.Before(waiting.deadline)
+// decide ends a request once it need not wait any longer.
+func (e *Engine) decide(pending *request) {
+	over := !e.now.Before(pending.deadline)
 	switch {
-	case waiting.answered || waiting.open > 0 && !over:
-	case waiting.route.Gathers():
-		e.endGathering(waiting, over)
+	case pending.answered || pending.open > 0 && !over:
+	case pending.route.Gathers():
+		e.endGathering(pending, over)
 	default:
-		e.answerSingle(waiting, over)
+		e.answerSingle(pending, over)
 	}
 }
 
-// endGathering says which shards have no part.
-func (e *Engine) endGathering(waiting *request, over bool) {
-	result := e.result(waiting)
-	result.Verdict = waiting.verdict()
+// endGathering ends a gathering request and reports the shards without a part.
+func (e *Engine) endGathering(pending *request, over bool) {
+	result := e.result(pending)
+	result.Verdict = pending.verdict()
 	result.Reason = verdict.ReasonCoverage
 	if over {
 		result.Reason = verdict.ReasonTimeout
 	}
-	result.Missing = waiting.missing()
-	e.respond(waiting, result)
+	result.Missing = pending.missing()
+	e.respond(pending, result)
 }
 
-// share is a part of a whole, with room for the rounding of the least share.
+// share returns part/whole, with tolerance for rounding in the comparison with the least
+// share.
 func share(part, whole int) float64 { return float64(part)/float64(whole) + roundingSlack }
 
-// answerSingle answers with the server's reply, also with its failure, or fails.
-func (e *Engine) answerSingle(waiting *request, over bool) {
-	called := waiting.calls[0]
-	reply := called.part
+// answerSingle answers with the server's reply, even if that is an error, or fails the
+// request.
+func (e *Engine) answerSingle(pending *request, over bool) {
+	c := pending.calls[0]
+	reply := c.part
 	if reply == nil {
-		reply = called.reply
+		reply = c.failureReply
 	}
 	if reply != nil {
-		result := e.result(waiting)
+		result := e.result(pending)
 		result.Reply = reply
-		e.respond(waiting, result)
+		e.respond(pending, result)
 		return
 	}
 	reason := verdict.ReasonNoReplica
 	switch {
 	case over:
 		reason = verdict.ReasonTimeout
-	case len(called.tried) > 0:
-		reason = failureReason(called.last)
+	case len(c.tried) > 0:
+		reason = failureReason(c.lastFailure)
 	}
-	e.fail(waiting, reason)
+	e.fail(pending, reason)
 }
 
-func (e *Engine) fail(waiting *request, reason verdict.Reason) {
-	result := e.result(waiting)
+func (e *Engine) fail(pending *request, reason verdict.Reason) {
+	result := e.result(pending)
 	result.Reason = reason
-	result.Verdict = waiting.verdict()
+	result.Verdict = pending.verdict()
 	if result.Verdict == verdict.NotRun {
-		result.RetryAfter = refusalPause
+		result.RetryAfter = notRunRetryAfter
 	}
-	e.respond(waiting, result)
+	e.respond(pending, result)
 }
 
-// verdict folds what is known of all attempts; one that is out may have run.
+// verdict combines the verdicts of all attempts; one in flight may have run.
 func (r *request) verdict() verdict.Verdict {
 	var verdicts []verdict.Verdict
-	for _, called := range r.calls {
-		verdicts = append(verdicts, called.verdicts...)
-		if called.part != nil {
+	for _, c := range r.calls {
+		verdicts = append(verdicts, c.verdicts...)
+		if c.part != nil {
 			verdicts = append(verdicts, verdict.Ran)
 		}
-		for range called.live {
+		for range c.inFlight {
 			verdicts = append(verdicts, verdict.MayHaveRun)
 		}
 	}
 	return verdict.Combine(verdicts...)
 }
 
-func (e *Engine) respond(waiting *request, result Result) {
-	e.emit(Respond{Request: waiting.id, Result: result})
-	e.close(waiting)
+func (e *Engine) respond(pending *request, result Result) {
+	e.emit(Respond{Request: pending.id, Result: result})
+	e.close(pending)
 }
 
-// learn takes in what an attempt tells of its server.
-func (e *Engine) learn(ended *attempt, outcome Outcome) {
+// recordOutcome updates the state of a server from the outcome of an attempt.
+func (e *Engine) recordOutcome(ended *attempt, outcome Outcome) {
 	from := ended.server
-	from.report(e.now, outcome.Load)
+	from.recordLoad(e.now, outcome.Load)
 	if outcome.ColdFor > 0 {
 		from.WarmAt = e.now.Add(outcome.ColdFor)
-		from.turnCold(e.now)
+		from.startColdBudget(e.now)
 	}
 	took := e.now.Sub(ended.started)
 	route := ended.call.request.route
 	switch outcome.Failure {
 	case NoFailure:
 		from.refusals.count(e.now, false)
-		e.learnReply(ended, outcome, took)
+		e.recordReply(ended, outcome, took)
 	case Refused:
 		from.refusals.count(e.now, true)
-		from.fullUntil = e.now.Add(fullTime)
-		e.timers.add(timer{at: from.fullUntil, kind: timerRoom, service: from.Service})
+		from.fullUntil = e.now.Add(fullDuration)
+		e.timers.add(timer{at: from.fullUntil, kind: timerCapacity, service: from.Service})
 	case Unaccepted:
-		from.overConnected(e.now)
-		e.timers.add(timer{at: from.fullUntil, kind: timerRoom, service: from.Service})
+		from.recordConnectionReset(e.now)
+		e.timers.add(timer{at: from.fullUntil, kind: timerCapacity, service: from.Service})
 	case OtherInstance:
 		from.misdirected = true
 		e.emit(Noted{Server: from.Server, Belief: "server_replaced"})
 	case Aborted:
 		e.histogram(route).Observe(e.now, took)
-		from.observe(e.now, e.ratio(route, took))
-		if from.heard.Before(ended.started) {
+		from.recordPace(e.now, e.ratio(route, took))
+		if from.lastReplyAt.Before(ended.started) {
 			from.countLoss(e.now, true)
-			// Silent for all that time: it pauses, or is gone.
+			// The server sent nothing for all that time: it is paused or has failed.
 			e.suspect(ended, outcome.Failure, outcome.Failure.String())
 		}
-	case NotSent: // It says nothing of the server.
+	case NotSent: // It says nothing about the server.
 	case NotConnected:
 		e.suspect(ended, outcome.Failure, outcome.Failure.String())
 	case Broken, TimedOut:
@@ -128,41 +130,42 @@
 	}
 }
 
-func (e *Engine) learnReply(ended *attempt, outcome Outcome, took time.Duration) {
+func (e *Engine) recordReply(ended *attempt, outcome Outcome, took time.Duration) {
 	from := ended.server
 	from.countLoss(e.now, outcome.Reply.ServerFailed())
 	if !outcome.Reply.Succeeded() {
-		from.errors++
-		if from.errors > toleratedFailures {
+		from.errorReplies++
+		if from.errorReplies > toleratedErrorReplies {
 			e.suspect(ended, outcome.Failure, "error_replies")
 		}
 		return
 	}
 	route := ended.call.request.route
-	// A slowness that the server told itself counts in its pace, too: its word is gone
-	// after 200 ms, while a server that is slow stays so for seconds.
-	from.observe(e.now, e.ratio(route, took))
+	// A slowness that the server reported itself counts in its pace, too: the report expires
+	// after 200 ms, while a slow server stays slow for seconds.
+	from.recordPace(e.now, e.ratio(route, took))
 	e.histogram(route).Observe(e.now, took)
-	ended.call.group.took.Observe(e.now, took)
-	from.succeeded(e.now)
+	ended.call.group.attemptTime.Observe(e.now, took)
+	from.recordSuccess(e.now)
 }
 
-// suspect makes the server of an attempt avoided for a while.
+// suspect makes the router avoid the server of an attempt for a while.
 func (e *Engine) suspect(ended *attempt, failure Failure, detail string) {
 	before := ended.server.suspectUntil
-	ended.server.failed(e.now, ended.started)
-	ended.server.unconnected = failure == NotConnected
+	ended.server.recordFailure(e.now, ended.started)
+	ended.server.connectFailed = failure == NotConnected
 	if ended.server.suspectUntil != before {
 		e.emit(Noted{Server: ended.server.Server, Belief: "server_suspected", Detail: detail})
 	}
 }
 
-// toleratedFailures in a row are taken for the requests' fault.
-const toleratedFailures = 2
+// toleratedErrorReplies is how many consecutive error replies are attributed to the requests
+// rather than to the server.
+const toleratedErrorReplies = 2
 
-// ratio is a time relative to the median of the route.
+// ratio returns a duration relative to the median of the route.
 func (e *Engine) ratio(route *routing.Route, took time.Duration) float64 {
-	typical := e.typical(route)
+	typical := e.typicalTime(route)
 	if typical <= 0 {
 		return 1
 	}
--- a/internal/scatter/doc.go
+++ b/internal/scatter/doc.go
@@ -1,23 +1,23 @@
 // Package scatter decides how the requests of registered sites are answered:
-// which server of a service gets a request, when a second one is asked, and when
+// which server of a service gets a request, when a second one is tried, and when
 // the answer is given. A request to one service has one call; a request that
 // gathers has one call for each shard.
 //
 // It is a deterministic state machine without I/O: Engine.Step takes the time
-// and an event and returns commands for the shell to carry out. One goroutine
+// and an event and returns commands for the caller to carry out. One goroutine
 // owns an engine.
 //
 //	first attempt  at once, to the server with the least expected delay
-//	room           a server without a free slot gets little more; calls wait here, the
-//	               first due first, and those that can't be in time any more last
-//	hedge          to another server once an attempt is out longer than most are, or
-//	               for half of the time until its part is due
+//	queue          a server without a free slot gets little more work; calls are queued
+//	               here, by due time, and those that can't be in time any more come last
+//	hedge          to another server once an attempt is in flight for longer than most
+//	               are, or for half of the time until its part is due
 //	retry          after a failure, if the request may run again or provably has
 //	               not run
 //	budget         hedges and retries of a service spend tokens that first
-//	               attempts earn, so that over all routers the arrivals beyond the
-//	               first stay below a share of the requests
+//	               attempts earn, so that over all routers the extra attempts
+//	               stay below a share of the requests
 //	answer         the reply of the service, or a failure as soon as success is
-//	               impossible; parts are given as they come, and whoever gathers
-//	               them decides when they suffice (package slicing)
+//	               impossible; parts are delivered as they come, and the router that
+//	               gathers them decides when they suffice (package slicing)
 package scatter
--- a/internal/scatter/engine.go
+++ b/internal/scatter/engine.go
@@ -11,50 +11,50 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// Config holds what an engine is made with.
+// Config holds the settings of an engine.
 type Config struct {
-	// Zone is the router's own.
+	// Zone is the router's own zone.
 	Zone string
-	// Seed of the random source: equal seeds and events give equal commands.
+	// Seed of the random source: the same seed and events give the same commands.
 	Seed   uint64
 	Budget BudgetLimits
 	Cold   ColdLimits
 }
 
-// Engine is the decision core of one router. One goroutine owns it.
+// Engine decides for one router. A single goroutine owns it.
 type Engine struct {
-	config   Config
-	random   *rand.Rand
-	now      time.Time
-	routers  int
-	rank     int
-	groups   map[string]*group
-	servers  map[string]*server
-	requests map[RequestID]*request
-	attempts map[AttemptID]*attempt
-	routes   map[string]*latency.Histogram
-	timers   timerHeap
-	last     AttemptID
-	woken    time.Time
-	// evacuated says which servers get nothing by an operator's order.
+	config      Config
+	random      *rand.Rand
+	now         time.Time
+	routers     int
+	rank        int
+	groups      map[string]*group
+	servers     map[string]*server
+	requests    map[RequestID]*request
+	attempts    map[AttemptID]*attempt
+	histograms  map[string]*latency.Histogram
+	timers      timerHeap
+	lastAttempt AttemptID
+	wakeAt      time.Time
+	// evacuated determines which servers get no work by an operator's order.
 	evacuated evacuation.View
-	// rollouts say which servers calls of a service may go to.
+	// rollouts determine, by service, which versions calls may go to.
 	rollouts map[string]rollout.Rule
 	commands []Command
 }
 
-// New returns an engine that knows no servers.
+// New returns an engine without servers.
 func New(config Config) *Engine {
 	return &Engine{
 		config: config, random: rand.New(rand.NewPCG(config.Seed, config.Seed)), routers: 1,
 		groups: make(map[string]*group), servers: make(map[string]*server),
 		requests: make(map[RequestID]*request), attempts: make(map[AttemptID]*attempt),
-		routes: make(map[string]*latency.Histogram),
+		histograms: make(map[string]*latency.Histogram),
 	}
 }
 
-// Step takes in one event and returns what has to be done, in order. The
-// returned slice is valid until the next Step.
+// Step handles one event and returns the commands to carry out, in order. The returned slice
+// is valid until the next Step.
 func (e *Engine) Step(now time.Time, event Event) []Command {
 	if now.After(e.now) {
 		e.now = now
@@ -62,7 +62,7 @@
 	e.commands = e.commands[:0]
 	e.runTimers()
 	e.handle(event)
-	e.wake()
+	e.scheduleWake()
 	return e.commands
 }
 
@@ -73,70 +73,70 @@
 	case Ended:
 		e.end(event)
 	case Granted:
-		e.takeGrant(event)
+		e.handleGrant(event)
 	case Abandoned:
 		e.abandon(event.Request)
 	case Withdrawn:
 		e.withdraw(event.Request)
 	case ServersChanged:
-		for _, told := range event.Servers {
-			e.changeServer(told)
+		for _, update := range event.Servers {
+			e.updateServer(update)
 		}
-		e.serveWaiting()
+		e.dispatchWaiting()
 	case ServersGone:
 		for _, id := range event.IDs {
-			e.forgetServer(id)
+			e.removeServer(id)
 		}
 	case DocumentChanged:
-		e.changeServices(event.Services)
+		e.updateServices(event.Services)
 	case RoutersCounted:
 		e.routers, e.rank = max(1, event.Count), event.Rank
 	case GatherersCounted:
-		e.countGatherers(event.Gatherers)
+		e.setGatherers(event.Gatherers)
 	case ZonesEvacuated:
 		e.evacuated = event.View
-		e.serveWaiting()
+		e.dispatchWaiting()
 	case RolloutsChanged:
-		e.changeRollouts(event.Rules)
+		e.updateRollouts(event.Rules)
 	case TimerFired:
 	}
 }
 
 func (e *Engine) emit(command Command) { e.commands = append(e.commands, command) }
 
-// wake asks to be called at the next timer, if that is another time than last.
-func (e *Engine) wake() {
-	if len(e.timers) == 0 || e.timers[0].at.Equal(e.woken) {
+// scheduleWake requests a TimerFired for the next timer, unless it was requested already.
+func (e *Engine) scheduleWake() {
+	if len(e.timers) == 0 || e.timers[0].at.Equal(e.wakeAt) {
 		return
 	}
-	e.woken = e.timers[0].at
-	e.emit(Wake{At: e.woken})
+	e.wakeAt = e.timers[0].at
+	e.emit(Wake{At: e.wakeAt})
 }
 
 func (e *Engine) runTimers() {
 	for {
-		due, ok := e.timers.due(e.now)
+		t, ok := e.timers.due(e.now)
 		if !ok {
 			return
 		}
-		switch due.kind {
+		switch t.kind {
 		case timerHedge:
-			e.hedge(due.attempt)
+			e.hedge(t.attempt)
 		case timerClaim:
-			e.claimAhead(due.attempt)
+			e.claimAhead(t.attempt)
 		case timerAbort:
-			if _, out := e.attempts[due.attempt]; out {
-				e.emit(Abort{Attempt: due.attempt})
+			if _, exists := e.attempts[t.attempt]; exists {
+				e.emit(Abort{Attempt: t.attempt})
 			}
 		case timerDue:
-			if waiting, ok := e.requests[due.request]; ok && waiting.open > 0 {
-				e.emit(Overdue{Request: waiting.id, Result: e.result(waiting)})
+			if pending, ok := e.requests[t.request]; ok && pending.open > 0 {
+				e.emit(Overdue{Request: pending.id, Result: e.result(pending)})
 			}
-		case timerRoom:
-			e.serveGroup(due.service)
+		case timerCapacity:
+			e.dispatchQueue(t.service)
 		case timerDeadline:
-			if waiting, ok := e.requests[due.request]; ok {
-				e.decide(waiting)
+			if pending, ok := e.requests[t.request]; ok {
+				e.decide(pending)
 			}
 		}
 	}
@@ -154,52 +154,52 @@
 	return existing
 }
 
-// changeServer takes in a server. One that left stays so.
-func (e *Engine) changeServer(told Server) {
-	known, exists := e.servers[told.ID]
+// updateServer adds or updates a server. One that is leaving remains so.
+func (e *Engine) updateServer(update Server) {
+	known, exists := e.servers[update.ID]
 	if !exists {
-		added := newServer(told)
-		added.turnCold(e.now)
-		e.servers[told.ID] = added
-		in := e.group(told.Service)
-		in.servers = append(in.servers, added)
-		e.emit(Noted{Server: told, Belief: "server_known"})
+		added := newServer(update)
+		added.startColdBudget(e.now)
+		e.servers[update.ID] = added
+		grp := e.group(update.Service)
+		grp.servers = append(grp.servers, added)
+		e.emit(Noted{Server: update, Belief: "server_known"})
 		return
 	}
-	told.Leaving = told.Leaving || known.Leaving
-	if told.Leaving != known.Leaving || told.Missing != known.Missing || told.Replaced != known.Replaced {
-		e.emit(Noted{Server: told, Belief: "server_changed", Detail: known.recentWork(e.now)})
+	update.Leaving = update.Leaving || known.Leaving
+	if update.Leaving != known.Leaving || update.Missing != known.Missing || update.Replaced != known.Replaced {
+		e.emit(Noted{Server: update, Belief: "server_changed", Detail: known.recentWork(e.now)})
 	}
-	known.missingTold = known.missingTold && told.Missing
-	known.Server = told
-	known.turnCold(e.now)
+	known.missingLogged = known.missingLogged && update.Missing
+	known.Server = update
+	known.startColdBudget(e.now)
 }
 
-func (e *Engine) forgetServer(id string) {
+func (e *Engine) removeServer(id string) {
 	known, exists := e.servers[id]
 	if !exists {
 		return
 	}
 	known.Leaving = true
 	delete(e.servers, id)
-	in := e.group(known.Service)
-	for index, member := range in.servers {
+	grp := e.group(known.Service)
+	for index, member := range grp.servers {
 		if member == known {
-			in.servers = append(in.servers[:index:index], in.servers[index+1:]...)
+			grp.servers = append(grp.servers[:index:index], grp.servers[index+1:]...)
 			break
 		}
 	}
 	e.emit(Noted{Server: known.Server, Belief: "server_forgotten", Detail: known.recentWork(e.now)})
 }
 
-func (e *Engine) changeServices(services []routing.Service) {
+func (e *Engine) updateServices(services []routing.Service) {
 	for _, service := range services {
-		in := e.group(service.Name)
-		in.connections, in.coldRate = service.MaxConnections, service.ColdRate
+		grp := e.group(service.Name)
+		grp.maxConnections, grp.coldRate = service.MaxConnections, service.ColdRate
 	}
 }
 
-func (e *Engine) countGatherers(counted map[string]Gatherers) {
+func (e *Engine) setGatherers(counted map[string]Gatherers) {
 	for service, known := range e.groups {
 		known.gatherers = counted[service]
 	}
@@ -208,24 +208,23 @@
 	}
 }
 
-// share is the part of what a service allows all routers together that this one
-// may use.
-func (e *Engine) share(of *group) float64 { return of.gatherers.share(e.routers) }
+// share is this router's share of what a service allows all routers together.
+func (e *Engine) share(g *group) float64 { return g.gatherers.share(e.routers) }
 
 // histogram returns the histogram of a route's attempts.
 func (e *Engine) histogram(route *routing.Route) *latency.Histogram {
-	existing, ok := e.routes[route.Name]
+	existing, ok := e.histograms[route.Name]
 	if !ok {
 		existing = latency.NewHistogram(latency.DefaultHalfLife)
-		e.routes[route.Name] = existing
+		e.histograms[route.Name] = existing
 	}
 	return existing
 }
 
-// refusalPause is when a request that has not run may come back.
-const refusalPause = 150 * time.Millisecond
+// notRunRetryAfter is the delay after which a client may retry a request that has not run.
+const notRunRetryAfter = 150 * time.Millisecond
 
-// failureReason names a failure towards the log.
+// failureReason maps a failure to the reason that is reported.
 func failureReason(failure Failure) verdict.Reason {
 	switch failure {
 	case NotConnected, Unaccepted, Broken:
--- a/internal/scatter/engine_test.go
+++ b/internal/scatter/engine_test.go
@@ -12,7 +12,7 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-func TestPartsAreGivenAsTheyComeAndTheEndSaysWhatIsMissing(t *testing.T) {
+func TestPartsAreDeliveredAsTheyArriveAndTheResultListsTheMissing(t *testing.T) {
 	h := newHarness(t, scatter.BudgetLimits{})
 	h.servers("x", 1)
 	h.servers("y", 1)
@@ -28,8 +28,8 @@
 	require.Len(t, h.parts[id], 1)
 }
 
-func TestWholeGatheringEndsWithTheLastPart(t *testing.T) {
-	h := newHarness(t, plenty)
+func TestCompleteGatheringEndsWithTheLastPart(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	h.servers("x", 1)
 	h.servers("y", 1)
 	id := h.arrive(gatherRoute("x", "y"))
@@ -40,22 +40,22 @@
 	require.Empty(t, h.result(id).Missing)
 }
 
-func TestRepeatedGatheringPaysForEachAttempt(t *testing.T) {
+func TestRepeatedGatheringNeedsATokenForEachAttempt(t *testing.T) {
 	h := newHarness(t, scatter.BudgetLimits{})
 	h.servers("x", 1)
 	route := gatherRoute("x")
 	h.step(scatter.Arrived{ID: 77, Route: route, Services: []string{"x"}, Deadline: h.now.Add(time.Second), Earlier: 1})
-	require.Empty(t, h.take(), "an attempt that may be a second one was not paid for")
-	// Room at the service is no payment.
+	require.Empty(t, h.take(), "sent without a token although another router may have sent an attempt")
+	// A new server must not make up for the missing token.
 	h.servers("x", 2)
 	h.advance(20 * time.Millisecond)
-	require.Empty(t, h.take(), "an attempt that waited for a token was sent without one")
+	require.Empty(t, h.take(), "sent without a token after waiting for one")
 	h.advance(time.Second)
 	require.Equal(t, []int{0}, h.result(77).Missing)
 }
 
 func TestDeadlineEndsEveryRequest(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	route := gatherRoute("x", "y")
 	route.LeastShare = 1
 	h.servers("x", 1)
@@ -71,8 +71,8 @@
 	require.Zero(t, h.engine.InFlight())
 }
 
-func TestRefusedEverywhereIsNotRunAndSaysWhenToComeBack(t *testing.T) {
-	h := newHarness(t, plenty)
+func TestRefusedEverywhereIsNotRunAndSetsRetryAfter(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 2)
 	id := h.arrive(singleRoute(false))
 	for range 2 {
@@ -85,10 +85,10 @@
 	require.Positive(t, result.RetryAfter)
 }
 
-// TestRefusedWithoutATokenIsToldAtOnce has a server refuse a request that the budget does
-// not pay another attempt for: the client is told at once when to come back, in place of
-// at its deadline. One that may have run waits for a token.
-func TestRefusedWithoutATokenIsToldAtOnce(t *testing.T) {
+// TestRefusedWithoutATokenIsAnsweredAtOnce has a server refuse a request for which the budget
+// denies another attempt: the client gets its retry delay at once instead of at the deadline.
+// A request that may have run waits for a token.
+func TestRefusedWithoutATokenIsAnsweredAtOnce(t *testing.T) {
 	h := newHarness(t, scatter.BudgetLimits{})
 	h.servers("s", 2)
 	refused := h.arrive(singleRoute(true))
@@ -96,13 +96,13 @@
 	result := h.result(refused)
 	require.Equal(t, verdict.NotRun, result.Verdict)
 	require.Positive(t, result.RetryAfter)
-	doubtful := h.arrive(singleRoute(true))
+	uncertain := h.arrive(singleRoute(true))
 	h.end(h.take()[0], failure(scatter.Broken, verdict.MayHaveRun))
-	h.unanswered(doubtful)
+	h.unanswered(uncertain)
 }
 
-func TestDoubtfulAttemptOfAnUnrepeatableRequestIsNotRepeated(t *testing.T) {
-	h := newHarness(t, plenty)
+func TestUnrepeatableRequestThatMayHaveRunIsNotRepeated(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 3)
 	id := h.arrive(singleRoute(false))
 	sent := h.take()
@@ -113,7 +113,7 @@
 }
 
 func TestUnrepeatableRequestIsNeverHedged(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 3)
 	h.arrive(singleRoute(false))
 	h.advance(900 * time.Millisecond)
@@ -121,7 +121,7 @@
 }
 
 func TestSilentAttemptIsHedgedAtAnotherServer(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 2)
 	id := h.arrive(singleRoute(true))
 	h.advance(150 * time.Millisecond)
@@ -132,11 +132,11 @@
 	h.end(sent[1], good("fast"))
 	require.Equal(t, "fast", string(h.result(id).Reply.Body))
 	h.advance(time.Second)
-	require.True(t, h.aborted[sent[0].Attempt], "the attempt that lost goes on for ever")
+	require.True(t, h.aborted[sent[0].Attempt], "the slower attempt is never aborted")
 }
 
-func TestServerThatLeavesOrIsGoneGetsNothing(t *testing.T) {
-	h := newHarness(t, plenty)
+func TestDrainingOrRemovedServerGetsNothing(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 2)
 	h.step(scatter.ServersChanged{Servers: []scatter.Server{{ID: "s/0", Service: "s", Address: "s/0", Slots: 2, Leaving: true}}})
 	for range 4 {
@@ -148,11 +148,11 @@
 	h.step(scatter.ServersChanged{Servers: []scatter.Server{{ID: "s/0", Service: "s", Address: "s/0", Slots: 2}}})
 	h.step(scatter.ServersGone{IDs: []string{"s/1"}})
 	h.arrive(singleRoute(true))
-	require.Empty(t, h.take(), "a word that it lives takes leaving back")
+	require.Empty(t, h.take(), "a later report revoked the departure")
 }
 
-func TestReplacedInstanceIsNotAskedAgain(t *testing.T) {
-	h := newHarness(t, plenty)
+func TestReplacedInstanceGetsNoFurtherRequests(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 2)
 	h.arrive(singleRoute(false))
 	first := h.take()[0]
@@ -165,8 +165,8 @@
 	}
 }
 
-func TestNoServerIsWaitedForAWhile(t *testing.T) {
-	h := newHarness(t, plenty)
+func TestCallWaitsForAServerToBecomeKnown(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	route := singleRoute(true)
 	route.Timeout = 5 * time.Second
 	early := h.arrive(route)
@@ -184,11 +184,12 @@
 	require.Equal(t, verdict.ReasonNoReplica, h.result(never).Reason)
 }
 
-// TestWaitingForAServerTakesNoMoreThanItsTimers has requests wait for a service of which no
-// server is known, with more arriving all the time: each holds its own timers and no others.
+// TestWaitingForAServerTakesNoMoreThanItsTimers guards against timers that accumulate while
+// requests wait for a service without known servers: each request holds only its own timers,
+// however many arrive.
 func TestWaitingForAServerTakesNoMoreThanItsTimers(t *testing.T) {
 	const arrivals, timersOfARequest = 14, 4
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	for range arrivals {
 		h.arrive(gatherRoute("s"))
 		h.advance(100 * time.Millisecond)
@@ -196,8 +197,8 @@
 	}
 }
 
-func TestRoomGoesFirstToRequestsWithinTheirTarget(t *testing.T) {
-	h := newHarness(t, plenty)
+func TestCapacityGoesFirstToRequestsWithinTheirTarget(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 1)
 	route := singleRoute(false)
 	for range 3 {
@@ -215,7 +216,7 @@
 }
 
 func TestServerThatFailedIsTriedWithOneAttempt(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 2)
 	route := singleRoute(false)
 	h.arrive(route)
@@ -238,21 +239,21 @@
 	require.Equal(t, failing.Server.ID, h.take()[0].Server.ID)
 }
 
-// TestServersThatFailedAreTakenInTheOrderOfHope has no sound server: one is slow
-// and was given up, to the other one no connection came up.
-func TestServersThatFailedAreTakenInTheOrderOfHope(t *testing.T) {
-	h := newHarness(t, plenty)
+// TestFailedServersAreTriedInOrderOfCondition has no healthy server: an attempt at one was
+// aborted as slow, and no connection to the other could be established.
+func TestFailedServersAreTriedInOrderOfCondition(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 2)
 	route := singleRoute(false)
 	h.arrive(route)
 	h.arrive(route)
 	first := h.take()
 	require.NotEqual(t, first[0].Server.ID, first[1].Server.ID)
-	slow, dark := first[0].Server.ID, first[1].Server.ID
+	slow, unreachable := first[0].Server.ID, first[1].Server.ID
 	h.advance(100 * time.Millisecond)
 	h.end(first[1], failure(scatter.NotConnected, verdict.NotRun))
 	h.end(first[0], failure(scatter.Aborted, verdict.MayHaveRun))
-	// What the unconnected attempt left is sent to the other server.
+	// The retry of the attempt without a connection goes to the other server.
 	for _, send := range h.take() {
 		require.Equal(t, slow, send.Server.ID)
 	}
@@ -260,7 +261,7 @@
 		h.arrive(route)
 	}
 	for _, send := range h.take() {
-		require.Equal(t, slow, send.Server.ID, "a call goes to a server that can't be reached")
+		require.Equal(t, slow, send.Server.ID, "call sent to an unreachable server")
 	}
 	h.advance(300 * time.Millisecond)
 	tried := map[string]int{}
@@ -270,13 +271,13 @@
 	for _, send := range h.take() {
 		tried[send.Server.ID]++
 	}
-	require.LessOrEqual(t, tried[dark], 1, "more than one trial")
+	require.LessOrEqual(t, tried[unreachable], 1, "more than one attempt at a server on probation")
 }
 
-// TestEarlierRoutersLeaveNoAttemptBeyondTheRoute has two routers that may have asked a
-// shard of a route with two attempts: a third one sends nothing and says so at once.
+// TestEarlierRoutersLeaveNoAttemptBeyondTheRoute has two routers that may have sent to a shard
+// whose route allows two attempts: a third router sends nothing and reports so at once.
 func TestEarlierRoutersLeaveNoAttemptBeyondTheRoute(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	h.servers("x", 3)
 	route := gatherRoute("x")
 	h.step(scatter.Arrived{ID: 1, Route: route, Services: route.Shards, Deadline: h.now.Add(time.Second), Earlier: 2})
@@ -284,11 +285,11 @@
 	require.Equal(t, []int{0}, h.result(1).Missing)
 }
 
-// TestRepeatLeavesAnAttemptToTheOtherRouter has another router that may have asked
-// one server of each shard: only the rest of the route's attempts may be used.
+// TestRepeatLeavesAnAttemptToTheOtherRouter has another router that may have sent to one
+// server of each shard: only the route's remaining attempts may be used.
 func TestRepeatLeavesAnAttemptToTheOtherRouter(t *testing.T) {
 	for attempts, want := range map[int]int{1: 0, 2: 1, 3: 2} {
-		h := newHarness(t, plenty)
+		h := newHarness(t, ampleBudget)
 		h.servers("s", 4)
 		route := gatherRoute("s")
 		route.MaxAttempts = attempts
@@ -305,7 +306,7 @@
 }
 
 func TestAttemptsStayWithinTheShareOfConnections(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	h.step(scatter.DocumentChanged{Services: []routing.Service{{Name: "s", MaxConnections: 10}}})
 	h.step(scatter.RoutersCounted{Count: 8})
 	h.servers("s", 1)
@@ -344,8 +345,8 @@
 	require.Len(t, h.parts[id], 1)
 }
 
-func TestClientThatLeavesEndsItsAttempts(t *testing.T) {
-	h := newHarness(t, plenty)
+func TestClientDisconnectAbortsItsAttempts(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 1)
 	id := h.arrive(singleRoute(true))
 	sent := h.take()
@@ -353,7 +354,7 @@
 	h.advance(500 * time.Millisecond)
 	require.True(t, h.aborted[sent[0].Attempt])
 	require.Zero(t, h.engine.InFlight())
-	require.Empty(t, h.take(), "something was sent for a client that left")
+	require.Empty(t, h.take(), "sent for a client that disconnected")
 	h.unanswered(id)
 }
 
@@ -362,7 +363,7 @@
 		least   float64
 		answers bool
 	}{{0.5, true}, {1, false}} {
-		h := newHarness(t, plenty)
+		h := newHarness(t, ampleBudget)
 		h.servers("x", 1)
 		h.servers("y", 1)
 		route := gatherRoute("x", "y")
@@ -383,7 +384,7 @@
 }
 
 func TestServerThatResetsNewConnectionsStaysInUse(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 1)
 	route := singleRoute(true)
 	route.MaxAttempts = 1
@@ -392,7 +393,7 @@
 	id := h.arrive(route)
 	h.advance(60 * time.Millisecond)
 	sent := h.take()
-	require.Len(t, sent, 1, "the server was taken out for a limit of connections")
+	require.Len(t, sent, 1, "the server was removed because of its connection limit")
 	h.end(sent[0], good("ok"))
 	require.NotNil(t, h.result(id).Reply)
 }
--- a/internal/scatter/evacuation_test.go
+++ b/internal/scatter/evacuation_test.go
@@ -11,7 +11,7 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// twoZones makes a server of service s known in the zones a and b each.
+// twoZones adds a server of service s in each of the zones a and b.
 func (h *harness) twoZones() {
 	h.step(scatter.ServersChanged{Servers: []scatter.Server{
 		{ID: "s/a", Service: "s", Address: "a", Zone: "a", Slots: 2}, {ID: "s/b", Service: "s", Address: "b", Zone: "b", Slots: 2},
@@ -23,7 +23,7 @@
 }
 
 func TestNothingGoesToAnEvacuatedZone(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	h.twoZones()
 	h.evacuate("a")
 	for range 20 {
@@ -34,7 +34,7 @@
 			h.end(send, failure(scatter.Broken, verdict.MayHaveRun))
 		}
 		h.advance(time.Second)
-		require.Empty(t, h.take(), "a retry or hedge")
+		require.Empty(t, h.take(), "retried or hedged")
 		require.Contains(t, h.results, id)
 	}
 	h.evacuate()
@@ -43,7 +43,7 @@
 }
 
 func TestServiceWithoutServersElsewhereIsRefusedAtOnce(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	h.twoZones()
 	h.evacuate("a", "b")
 	id := h.arrive(singleRoute(true))
--- a/internal/scatter/events.go
+++ b/internal/scatter/events.go
@@ -9,10 +9,10 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// RequestID numbers a request within one engine.
+// RequestID identifies a request within one engine.
 type RequestID uint64
 
-// AttemptID numbers an attempt within one engine; it is never used again.
+// AttemptID identifies an attempt within one engine; it is never reused.
 type AttemptID uint64
 
 // Event is an input of Engine.Step.
@@ -21,25 +21,25 @@
 // Arrived submits a request.
 type Arrived struct {
 	ID RequestID
-	// Route is that of the document in force at arrival; its shards are those
-	// that the answer is made of.
+	// Route is the route of the document in effect at arrival; its shards are those that make
+	// up the answer.
 	Route *routing.Route
-	// Services are the shards, or the one service.
+	// Services are the shards, or the single service.
 	Services []string
-	// Deadline is when the answer is given at the latest.
+	// Deadline is the latest time for the answer.
 	Deadline time.Time
-	// Due is by when a reply is of full use; zero for at any time.
+	// Due is when a reply loses part of its value; zero for never.
 	Due time.Time
-	// Earlier is how many other routers may have asked servers before: each of them is
-	// taken to have sent one attempt, and every further one has to be paid for.
+	// Earlier is how many other routers may have sent attempts before: each is assumed to have
+	// sent one, and every further attempt needs a budget token.
 	Earlier int
-	// Claims says that whoever asked counts the attempts: each one beyond the first of a
-	// shard is sent only once it was granted.
+	// Claims says that the requesting router counts the attempts: each one beyond the first of
+	// a shard is sent only once it has been granted.
 	Claims bool
 }
 
-// Granted answers a Claim: attempts beyond the first may be sent for some shards of a
-// request, or may not.
+// Granted answers a Claim: attempts beyond the first may be sent for some shards of a request,
+// or, if Refused, may not.
 type Granted struct {
 	Request RequestID
 	// Shards are positions in Arrived.Services.
@@ -47,55 +47,54 @@
 	Refused bool
 }
 
-// Ended is the end of an attempt; there is exactly one for each Send.
+// Ended reports the end of an attempt; there is exactly one for each Send.
 type Ended struct {
 	Attempt AttemptID
 	Outcome Outcome
 }
 
-// Abandoned says that nobody waits for a request any more: it was answered with
-// what was there, or its client left.
+// Abandoned reports that the answer to a request is no longer needed: it was answered with the
+// parts that were there, or its client disconnected.
 type Abandoned struct{ Request RequestID }
 
-// Withdrawn says that a request is quarantined: nothing more is sent for it, what is out is
-// aborted, and it ends at once.
+// Withdrawn reports that a request is quarantined: nothing more is sent for it, its attempts
+// in flight are aborted, and it ends at once.
 type Withdrawn struct{ Request RequestID }
 
-// ServersChanged tells of servers that are new or have changed.
+// ServersChanged reports servers that are new or have changed.
 type ServersChanged struct{ Servers []Server }
 
-// ServersGone tells of servers that get no new work and are forgotten.
+// ServersGone reports servers that get no new work and are removed.
 type ServersGone struct{ IDs []string }
 
-// DocumentChanged tells of the services of a new document.
+// DocumentChanged reports the services of a new document.
 type DocumentChanged struct{ Services []routing.Service }
 
-// RoutersCounted tells how many routers share the servers.
+// RoutersCounted reports how many routers share the servers.
 type RoutersCounted struct {
 	Count int
-	// Rank is the position of this one in an order that all of them share, from 0.
+	// Rank is the position of this router, from 0, in an order that all routers agree on.
 	Rank int
 }
 
-// GatherersCounted tells, for the services that are shards, how many routers ask
-// each in the ordinary course. Services that are not named are asked by all.
+// GatherersCounted reports, for services that are shards, how many routers normally send to
+// each. All routers send to services that are not listed.
 type GatherersCounted struct{ Gatherers map[string]Gatherers }
 
-// Gatherers are the routers that ask the servers of a shard in the ordinary
-// course: their requests are divided by shard (package slicing).
+// Gatherers are the routers that normally send to the servers of a shard: their requests are
+// divided by shard (package slicing).
 type Gatherers struct {
 	Count int
-	// Self says that this router is one of them; Rank is its position among them then,
-	// from 0.
+	// Self says that this router is one of them; Rank is then its position among them, from 0.
 	Self bool
 	Rank int
 }
 
-// ZonesEvacuated tells which servers get nothing because an operator has their zone
+// ZonesEvacuated reports which servers get no work because an operator has their zone
 // evacuated.
 type ZonesEvacuated struct{ View evacuation.View }
 
-// TimerFired says that the time of the last Wake has come.
+// TimerFired reports that the time of the last Wake has come.
 type TimerFired struct{}
 
 func (Arrived) isEvent()          {}
@@ -111,52 +110,54 @@
 func (ZonesEvacuated) isEvent()   {}
 func (TimerFired) isEvent()       {}
 
-// Server is one start of a server.
+// Server is one incarnation of a server, from its start to its end.
 type Server struct {
 	ID string
-	// Name is the server's own, which all its starts share; empty where it has none beside ID.
+	// Name is the server's own name, which all its incarnations share; empty if it has only an
+	// ID.
 	Name    string
 	Service string
 	Address string
 	Zone    string
-	// Version is that of the server's software; empty where it does not say.
+	// Version is that of the server's software; empty if it reports none.
 	Version string
 	Slots   int
-	// Leaving servers get no new work.
+	// Leaving servers are draining and get no new work.
 	Leaving bool
-	// Missing servers are silent towards the directory; they get work only if
-	// there is no other.
+	// Missing servers no longer report to the directory; they get work only if there is no
+	// other.
 	Missing bool
-	// Replaced servers get no work: another start of the same server is in use in their place.
+	// Replaced servers get no work: another incarnation of the same server is used instead.
 	Replaced bool
-	// WarmAt is when the server is no longer cold: slow, and able to bear few requests.
+	// WarmAt is when the server stops being cold. A cold server is slow and can handle few
+	// requests.
 	WarmAt time.Time
 }
 
-// Failure says in which way an attempt failed.
+// Failure is the way in which an attempt failed.
 type Failure uint8
 
 // Failures.
 const (
-	// NoFailure is a whole reply of the server, whatever its status.
+	// NoFailure is a complete reply of the server, whatever its status.
 	NoFailure Failure = iota
-	// NotConnected: no connection came up; nothing was sent.
+	// NotConnected: no connection was established; nothing was sent.
 	NotConnected
-	// Refused: the server says that it did not run the request.
+	// Refused: the server reports that it did not run the request.
 	Refused
 	// OtherInstance: another server answers at the address.
 	OtherInstance
 	// Unaccepted: a new connection was reset before anything was answered, as
 	// servers do beyond their limit of connections.
 	Unaccepted
-	// Broken: the connection or the answer broke off, or was no answer.
+	// Broken: the connection or the answer was cut off, or the answer was invalid.
 	Broken
-	// TimedOut: the attempt's time was over.
+	// TimedOut: the attempt's deadline passed.
 	TimedOut
-	// Aborted: the engine ended it.
+	// Aborted: the engine aborted it.
 	Aborted
-	// NotSent: the router stood still between the choice of the server and the sending, so that
-	// what the choice went by is too old; nothing was sent.
+	// NotSent: the router was suspended between the choice of the server and the sending, so
+	// that the choice is outdated; nothing was sent.
 	NotSent
 )
 
@@ -165,18 +166,18 @@
 	return [...]string{"none", "not_connected", "refused", "other_instance", "unaccepted", "broken", "timed_out", "aborted", "not_sent"}[f]
 }
 
-// Outcome is what became of an attempt.
+// Outcome is the result of an attempt.
 type Outcome struct {
 	Failure Failure
 	Verdict verdict.Verdict
-	// Reply is set when the server answered as a whole.
+	// Reply is set when the server's answer is complete.
 	Reply *message.Reply
 	Load  message.Load
-	// ColdFor is for how much longer the server says that it is cold; 0 for nothing said.
+	// ColdFor is how much longer the server reports to be cold; 0 if it reports nothing.
 	ColdFor time.Duration
 }
 
-// Command is an output of Engine.Step; the shell carries them out in order.
+// Command is an output of Engine.Step; the caller carries them out in order.
 type Command interface{ isCommand() }
 
 // Send sends one attempt.
@@ -184,24 +185,24 @@
 	Attempt AttemptID
 	Request RequestID
 	Server  Server
-	// Deadline is until when the server may work.
+	// Deadline is until when the server may work on the request.
 	Deadline time.Time
 	// Extra says that it is not the first attempt of its call.
 	Extra bool
 }
 
-// Claim asks for attempts beyond the first of a shard. One Granted follows.
+// Claim requests permission for another attempt at a shard beyond the first. One Granted
+// follows.
 type Claim struct {
 	Request RequestID
 	// Shard is the position in Arrived.Services.
 	Shard int
 }
 
-// Abort ends an attempt whose answer is not wanted any more. Its Ended follows.
+// Abort ends an attempt whose answer is no longer needed. Its Ended follows.
 type Abort struct{ Attempt AttemptID }
 
-// Part gives a part of a request that gathers. Respond follows once no more can
-// come.
+// Part delivers one part of a gathering request. Respond follows once no more can come.
 type Part struct {
 	Request RequestID
 	// Shard is the position in Arrived.Services.
@@ -209,29 +210,29 @@
 	Reply *message.Reply
 }
 
-// Respond ends a request: with the answer of its service, or, of a request that
-// gathers, with what is known of the shards without a part.
+// Respond ends a request: with the answer of its service, or, for a gathering request, with
+// the shards that have no part.
 type Respond struct {
 	Request RequestID
 	Result  Result
 }
 
-// Dropped tells how far a request had come that was abandoned.
+// Dropped reports the progress of a request that was abandoned.
 type Dropped struct {
 	Request RequestID
 	Result  Result
 }
 
-// Overdue tells what a request lacks when its parts are due.
+// Overdue reports which parts of a request are missing when they are due.
 type Overdue struct {
 	Request RequestID
 	Result  Result
 }
 
-// Wake asks for TimerFired at a time; each replaces the one before.
+// Wake requests a TimerFired at a time; each replaces the previous one.
 type Wake struct{ At time.Time }
 
-// Noted tells of a changed belief about a server, for the log.
+// Noted reports a change in the state of a server, for the log.
 type Noted struct {
 	Server Server
 	Belief string
@@ -248,30 +249,29 @@
 func (Wake) isCommand()    {}
 func (Noted) isCommand()   {}
 
-// Result is how a request ended.
+// Result is the result of a request.
 type Result struct {
-	// Reply is that of the service; nil for a failure of the router's own and for
-	// requests that gather.
+	// Reply is that of the service; nil for failures of the router itself and for gathering
+	// requests.
 	Reply *message.Reply
 	// Missing are the positions of shards without a part.
 	Missing []int
 	// Verdict and Reason are set when there is no reply.
 	Verdict verdict.Verdict
 	Reason  verdict.Reason
-	// RetryAfter is when a request that has not run may come back.
+	// RetryAfter is the delay after which a client may retry a request that has not run.
 	RetryAfter time.Duration
-	// Attempts and Extras count what was sent, and how much of it beyond the
-	// first of each call.
+	// Attempts and Extras count the attempts sent, and those beyond the first of each call.
 	Attempts int
 	Extras   int
-	// Denied counts the extra attempts that the budget did not pay for.
+	// Denied counts the extra attempts that the budget denied.
 	Denied int
-	// Lacked counts the calls without a part; Lacking tells of the first few.
+	// Lacked counts the calls without a part; Lacking describes the first few.
 	Lacked  int
-	Lacking []Lack
+	Lacking []MissingPart
 }
 
-// StepKind says what a step of a call was.
+// StepKind is the kind of a step of a call.
 type StepKind uint8
 
 // Step kinds.
@@ -280,13 +280,13 @@
 	StepHedged
 	StepRetried
 	StepEnded
-	// StepWaits: no server had room, or none was known.
-	StepWaits
-	// StepDenied: the budget did not pay for another attempt.
+	// StepQueued: no server had capacity, or none was known.
+	StepQueued
+	// StepDenied: the budget denied another attempt.
 	StepDenied
-	// StepClaims: another attempt is asked for.
+	// StepClaims: another attempt was claimed.
 	StepClaims
-	// StepHeld: attempts of the request broke off, and no server has answered it.
+	// StepHeld: attempts of the request broke off, and no server has answered it yet.
 	StepHeld
 )
 
@@ -295,12 +295,12 @@
 	return [...]string{"sent", "hedged", "retried", "ended", "waits", "denied", "claims", "held"}[k]
 }
 
-// Step is one thing that was done for a call.
+// Step is one step in the processing of a call, for diagnostics.
 type Step struct {
 	Kind StepKind
 	// After is the time since the arrival of the request.
 	After  time.Duration
 	Server string
-	// Failure is that of StepEnded.
+	// Failure is set for StepEnded.
 	Failure Failure
 }
--- a/internal/scatter/fleet_budget_test.go
+++ b/internal/scatter/fleet_budget_test.go
@@ -13,20 +13,20 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// fleetTick is the step of time of a simulated fleet.
+// fleetTick is the time step of a simulated fleet.
 const fleetTick = 250 * time.Millisecond
 
 // fleetRouter is one router of a simulated fleet.
 type fleetRouter struct {
 	slicing.Router
 	engine *harness
-	// frozen is how many more ticks it does nothing; learns how many ticks it takes until
-	// it has the newest layout.
-	frozen int
-	learns int
+	// frozen is for how many more ticks the router does nothing; layoutDelay is how many ticks
+	// pass until it has the newest layout.
+	frozen      int
+	layoutDelay int
 }
 
-// fleet is routers of one zone that gather one shard whose servers never answer.
+// fleet is a set of routers in one zone that gather one shard whose servers never answer.
 type fleet struct {
 	limits  scatter.BudgetLimits
 	routers []*fleetRouter
@@ -36,17 +36,17 @@
 }
 
 func newFleet(t reporter, count int, limits scatter.BudgetLimits) *fleet {
-	made := &fleet{limits: limits}
+	fl := &fleet{limits: limits}
 	for number := range count {
 		router := &fleetRouter{Router: slicing.Router{Name: fmt.Sprintf("r%02d", number), Zone: "a"}, engine: newHarness(t, limits)}
 		router.engine.step(scatter.RoutersCounted{Count: count})
 		router.engine.servers("s", 3)
-		made.routers = append(made.routers, router)
+		fl.routers = append(fl.routers, router)
 	}
-	return made
+	return fl
 }
 
-// layout is who gathers as a router sees it, which knows who is frozen.
+// layout returns the layout as a router sees it that knows which routers are frozen.
 func (f *fleet) layout(self slicing.Router) *slicing.Layout {
 	site := slicing.Site{Zones: func(string) []string { return []string{"a"} }, Calls: f.calls}
 	for _, router := range f.routers {
@@ -57,14 +57,14 @@
 	return slicing.NewLayout(self, []string{"s"}, site)
 }
 
-// tick has requests arrive at the routers that gather, and lets time pass.
+// tick submits requests to the routers that gather, and advances the time.
 func (f *fleet) tick(number, requests int) {
 	at := time.Duration(number) * fleetTick
-	asker := f.layout(slicing.Router{Name: "asker", Zone: "b"})
+	requester := f.layout(slicing.Router{Name: "asker", Zone: "b"})
 	for request := range requests {
-		asked := asker.Assign(fmt.Sprint(number, "/", request), []string{"s"})[0].Router
+		assigned := requester.Assign(fmt.Sprint(number, "/", request), []string{"s"})[0].Router
 		for _, router := range f.routers {
-			if router.Name == asked.Name {
+			if router.Name == assigned.Name {
 				router.engine.arrive(gatherRoute("s"))
 			}
 		}
@@ -79,7 +79,7 @@
 }
 
 func (f *fleet) run(router *fleetRouter, at time.Duration) {
-	if router.learns--; router.learns < 0 {
+	if router.layoutDelay--; router.layoutDelay < 0 {
 		counted := f.layout(router.Router).Gatherers()["s"]
 		router.engine.step(scatter.GatherersCounted{Gatherers: map[string]scatter.Gatherers{"s": scatter.Gatherers(counted)}})
 	}
@@ -94,31 +94,31 @@
 	}
 }
 
-// TestBudgetHoldsWhileGatherersComeAndGo has the number of gatherers follow changing calls,
-// which routers learn one after the other, and routers freeze while others stand in: over
-// any window the extra attempts of all stay within the budget.
-func TestBudgetHoldsWhileGatherersComeAndGo(t *testing.T) {
+// TestBudgetHoldsWhileGatherersChange changes the number of gatherers, which routers learn one
+// after the other, and freezes routers while others act as backups: in any window the extra
+// attempts of all routers stay within the budget.
+func TestBudgetHoldsWhileGatherersChange(t *testing.T) {
 	const window = scatter.DefaultBudgetWindow
 	rapid.Check(t, func(t *rapid.T) {
 		limits := scatter.BudgetLimits{Ratio: 0.2, Slack: rapid.SampledFrom([]float64{56, 160, 630}).Draw(t, "slack")}
-		made := newFleet(t, rapid.IntRange(3, 16).Draw(t, "routers"), limits)
+		fl := newFleet(t, rapid.IntRange(3, 16).Draw(t, "routers"), limits)
 		const ticks = 100
 		for number := range ticks {
 			if rapid.IntRange(0, 15).Draw(t, "change") == 0 {
-				made.calls = rapid.SampledFrom([]float64{0, 128, 256, 512, 1024, 2048}).Draw(t, "calls")
-				for _, router := range made.routers {
-					router.learns = rapid.IntRange(0, 8).Draw(t, "learns")
+				fl.calls = rapid.SampledFrom([]float64{0, 128, 256, 512, 1024, 2048}).Draw(t, "calls")
+				for _, router := range fl.routers {
+					router.layoutDelay = rapid.IntRange(0, 8).Draw(t, "learns")
 				}
 			}
 			if rapid.IntRange(0, 11).Draw(t, "freeze") == 0 {
-				made.routers[rapid.IntRange(0, len(made.routers)-1).Draw(t, "router")].frozen = rapid.IntRange(1, 16).Draw(t, "ticks")
+				fl.routers[rapid.IntRange(0, len(fl.routers)-1).Draw(t, "router")].frozen = rapid.IntRange(1, 16).Draw(t, "ticks")
 			}
-			made.tick(number, rapid.IntRange(0, 6).Draw(t, "requests"))
+			fl.tick(number, rapid.IntRange(0, 6).Draw(t, "requests"))
 		}
 		for number := range ticks {
 			from := time.Duration(number) * fleetTick
-			allowed := limits.Ratio*float64(within(made.firsts, from, window)) + limits.Slack
-			require.LessOrEqual(t, float64(within(made.extras, from, window)), allowed, "window from %v", from)
+			allowed := limits.Ratio*float64(within(fl.firsts, from, window)) + limits.Slack
+			require.LessOrEqual(t, float64(within(fl.extras, from, window)), allowed, "window from %v", from)
 		}
 	})
 }
--- a/internal/scatter/harness_test.go
+++ b/internal/scatter/harness_test.go
@@ -14,13 +14,13 @@
 
 var origin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// reporter is a test or a property test.
+// reporter is implemented by tests and property tests.
 type reporter interface {
 	require.TestingT
 	Helper()
 }
 
-// harness drives an engine and keeps what it asked for.
+// harness drives an engine and records its commands.
 type harness struct {
 	t       reporter
 	engine  *scatter.Engine
@@ -33,7 +33,7 @@
 	overdue map[scatter.RequestID]scatter.Result
 	last    scatter.RequestID
 	claims  []scatter.Claim
-	noted   []scatter.Noted
+	logged  []scatter.Noted
 }
 
 func newHarness(t reporter, limits scatter.BudgetLimits) *harness {
@@ -44,7 +44,7 @@
 	}
 }
 
-var plenty = scatter.BudgetLimits{Ratio: 1, Slack: 1000}
+var ampleBudget = scatter.BudgetLimits{Ratio: 1, Slack: 1000}
 
 func (h *harness) step(event scatter.Event) {
 	for _, command := range h.engine.Step(h.now, event) {
@@ -64,14 +64,14 @@
 		case scatter.Claim:
 			h.claims = append(h.claims, command)
 		case scatter.Noted:
-			h.noted = append(h.noted, command)
+			h.logged = append(h.logged, command)
 		case scatter.Wake:
 			h.wake = command.At
 		}
 	}
 }
 
-// advance lets time pass and fires the timers on the way.
+// advance lets time pass and fires the timers that come due.
 func (h *harness) advance(by time.Duration) {
 	until := h.now.Add(by)
 	for !h.wake.IsZero() && !h.wake.After(until) {
@@ -85,7 +85,7 @@
 	h.step(scatter.TimerFired{})
 }
 
-// servers makes count servers of a service known, named service/0 and so on.
+// servers adds a number of servers of a service, named service/0 and so on.
 func (h *harness) servers(service string, count int) {
 	for number := range count {
 		id := service + "/" + strconv.Itoa(number)
@@ -134,14 +134,14 @@
 	return scatter.Outcome{Failure: kind, Verdict: known}
 }
 
-// take removes and returns the sends so far.
+// take removes and returns the recorded sends.
 func (h *harness) take() []scatter.Send {
 	sent := h.sent
 	h.sent = nil
 	return sent
 }
 
-// result returns the answer of a request, which must be there.
+// result returns the result of a request, which must have ended.
 func (h *harness) result(id scatter.RequestID) scatter.Result {
 	h.t.Helper()
 	result, answered := h.results[id]
--- a/internal/scatter/lack.go
+++ b/internal/scatter/lack.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Cause says why a call has no part yet.
+// Cause is the reason why a call has no part yet.
 type Cause uint8
 
-// Causes, as seen when a part is due or its request ends.
+// Causes, as found when a part is due or its request ends.
 const (
-	// CauseWorking: it was sent at once, and its server answers others.
+	// CauseWorking: it was sent at once, and its server answers other requests.
 	CauseWorking Cause = iota
-	// CauseNoServer: no server of the shard is known, or none answers.
+	// CauseNoServer: no usable server of the shard is known, or all are suspected.
 	CauseNoServer
-	// CauseSlow: its server takes several times as long as others.
+	// CauseSlow: its server takes several times the typical time.
 	CauseSlow
 	// CausePaused: nothing has come from its server since it was sent.
 	CausePaused
-	// CauseNoRoom: it waits with this router for room at a server.
-	CauseNoRoom
-	// CauseWaited: it was sent late, since it had waited for room.
-	CauseWaited
-	// CauseNoToken: the budget does not pay for another attempt.
+	// CauseNoCapacity: it is queued at this router for a server with capacity.
+	CauseNoCapacity
+	// CauseSentLate: it was sent late, after waiting for capacity.
+	CauseSentLate
+	// CauseNoToken: the budget denies another attempt.
 	CauseNoToken
 	// CauseFailed: its attempts have failed.
 	CauseFailed
@@ -33,94 +33,94 @@
 	return [...]string{"working", "no_server", "slow", "paused", "no_room", "waited", "no_token", "failed"}[c]
 }
 
-// Lack is a call that brought no part.
-type Lack struct {
+// MissingPart describes a call without a part.
+type MissingPart struct {
 	Service string
-	// Server is the one that was asked last; empty for none.
+	// Server is the one that was sent to last; empty for none.
 	Server  string
 	Failure Failure
 	Cause   Cause
-	// Open says that an attempt was still out.
+	// Open says that an attempt was still in flight.
 	Open bool
-	// Steps are what was done for the call, in order.
+	// Steps are the steps of the call, in order.
 	Steps []Step
 }
 
-// maxLacking bounds the calls that a result tells of.
-const maxLacking = 8
+// maxMissingParts bounds the missing parts that a result describes.
+const maxMissingParts = 8
 
-func (e *Engine) result(waiting *request) Result {
-	result := Result{Attempts: waiting.attempts, Extras: waiting.extras, Denied: waiting.denied}
-	for _, called := range waiting.calls {
-		if called.part != nil {
+func (e *Engine) result(pending *request) Result {
+	result := Result{Attempts: pending.attempts, Extras: pending.extras, Denied: pending.denied}
+	for _, c := range pending.calls {
+		if c.part != nil {
 			continue
 		}
 		result.Lacked++
-		if len(result.Lacking) < maxLacking {
-			result.Lacking = append(result.Lacking, e.lack(called))
+		if len(result.Lacking) < maxMissingParts {
+			result.Lacking = append(result.Lacking, e.missingPart(c))
 		}
 	}
 	return result
 }
 
-func (e *Engine) lack(called *call) Lack {
-	lack := Lack{
-		Service: called.group.service, Failure: called.last, Cause: e.cause(called),
-		Open: len(called.live) > 0, Steps: called.steps,
+func (e *Engine) missingPart(c *call) MissingPart {
+	lack := MissingPart{
+		Service: c.group.service, Failure: c.lastFailure, Cause: e.cause(c),
+		Open: len(c.inFlight) > 0, Steps: c.steps,
 	}
-	if len(called.tried) > 0 {
-		lack.Server = called.tried[len(called.tried)-1].ID
+	if len(c.tried) > 0 {
+		lack.Server = c.tried[len(c.tried)-1].ID
 	}
 	return lack
 }
 
 // Thresholds of causes.
 const (
-	// slowPace is from how many times the typical time on a server is called slow.
+	// slowPace is the multiple of the typical time from which on a server counts as slow.
 	slowPace = 3.0
-	// longWait is the part of the time until the due time from which on a wait for
-	// room is called the cause.
-	longWait = 0.25
+	// longWaitShare is the share of the time until the due time from which on a wait for
+	// capacity counts as the cause.
+	longWaitShare = 0.25
 )
 
-// cause works out why a call has no part.
-func (e *Engine) cause(called *call) Cause {
+// cause determines why a call has no part.
+func (e *Engine) cause(c *call) Cause {
 	switch {
-	case !called.group.hasSound(e.now):
+	case !c.group.hasHealthy(e.now):
 		return CauseNoServer
-	case len(called.live) > 0:
-		return e.causeOut(called)
-	case called.waiting && called.lastStep() == StepDenied:
+	case len(c.inFlight) > 0:
+		return e.causeInFlight(c)
+	case c.queued && c.lastStep() == StepDenied:
 		return CauseNoToken
-	case called.waiting:
-		return CauseNoRoom
-	case len(called.tried) > 0:
+	case c.queued:
+		return CauseNoCapacity
+	case len(c.tried) > 0:
 		return CauseFailed
 	}
 	return CauseNoServer
 }
 
-// causeOut is the cause of a call whose attempt is out.
-func (e *Engine) causeOut(called *call) Cause {
-	out := called.live[len(called.live)-1]
-	waited := out.started.Sub(called.request.arrived)
+// causeInFlight is the cause for a call with an attempt in flight.
+func (e *Engine) causeInFlight(c *call) Cause {
+	a := c.inFlight[len(c.inFlight)-1]
+	waited := a.started.Sub(c.request.arrived)
 	switch {
-	case out.server.stalled(e.now):
+	case a.server.stalled(e.now):
 		return CausePaused
-	case out.server.currentPace(e.now) >= slowPace:
+	case a.server.currentPace(e.now) >= slowPace:
 		return CauseSlow
-	case float64(waited) > longWait*float64(called.request.allowed()):
-		return CauseWaited
+	case float64(waited) > longWaitShare*float64(c.request.timeAllowed()):
+		return CauseSentLate
 	}
 	return CauseWorking
 }
 
-// allowed is the time from the arrival of a request until it is due, or its
-// deadline.
-func (r *request) allowed() time.Duration { return r.usefulUntil().Sub(r.arrived) }
+// timeAllowed is the time from the arrival of a request until its due time, or until its
+// deadline if it has none.
+func (r *request) timeAllowed() time.Duration { return r.usefulUntil().Sub(r.arrived) }
 
-// usefulUntil is by when a reply is of full use: when the request is due, or its deadline
-// where its route has no target.
+// usefulUntil is when a reply loses part of its value: the due time, or the deadline if the
+// route has no target.
 func (r *request) usefulUntil() time.Time {
 	if r.due.IsZero() {
 		return r.deadline
@@ -128,7 +128,7 @@
 	return r.due
 }
 
-// lastStep returns the kind of the last step that was noted.
+// lastStep returns the kind of the last recorded step.
 func (c *call) lastStep() StepKind {
 	if len(c.steps) == 0 {
 		return StepSent
@@ -136,7 +136,7 @@
 	return c.steps[len(c.steps)-1].Kind
 }
 
-// hasSound reports whether a server may get work that is not believed to fail.
-func (g *group) hasSound(now time.Time) bool {
-	return slices.ContainsFunc(g.servers, func(s *server) bool { return s.usable() && s.condition(now) < doubted })
+// hasHealthy reports whether any server may get work and is not suspected.
+func (g *group) hasHealthy(now time.Time) bool {
+	return slices.ContainsFunc(g.servers, func(s *server) bool { return s.usable() && s.condition(now) < suspected })
 }
--- a/internal/scatter/losses_test.go
+++ b/internal/scatter/losses_test.go
@@ -10,10 +10,10 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// TestServerThatLosesAnswersIsLeftForASoundOne has the server of the own zone lose two
-// answers in five, never two in a row: most requests go to the other zone's.
-func TestServerThatLosesAnswersIsLeftForASoundOne(t *testing.T) {
-	h := newHarness(t, plenty)
+// TestServerThatLosesAnswersIsAvoided has the server of the own zone lose two answers in five,
+// never two in a row: most requests must go to the server of the other zone.
+func TestServerThatLosesAnswersIsAvoided(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	h.twoZones()
 	count := map[string]int{}
 	for range 400 {
@@ -29,11 +29,11 @@
 		h.advance(20 * time.Millisecond)
 	}
 	require.Greater(t, count["s/b"], 300)
-	require.Positive(t, count["s/a"], "it is tried again")
+	require.Positive(t, count["s/a"], "the server is never tried again")
 }
 
 func TestServerThatLostAnAnswerOnceIsSoonPreferredAgain(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	h.twoZones()
 	h.arrive(singleRoute(false))
 	lost := h.take()[0]
@@ -49,12 +49,12 @@
 	}
 }
 
-// TestFewSlowAnswersAreEnoughToPreferAnotherServer has the server of the own zone turn eight
-// times slower: of the next requests at most three go there.
+// TestFewSlowAnswersAreEnoughToPreferAnotherServer makes the server of the own zone eight
+// times slower: at most three of the next requests may go there.
 func TestFewSlowAnswersAreEnoughToPreferAnotherServer(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	h.twoZones()
-	ask := func(slow time.Duration) string {
+	request := func(slow time.Duration) string {
 		h.arrive(singleRoute(false))
 		sent := h.take()[0]
 		took := 20 * time.Millisecond
@@ -66,11 +66,11 @@
 		return sent.Server.ID
 	}
 	for range 50 {
-		require.Equal(t, "s/a", ask(20*time.Millisecond))
+		require.Equal(t, "s/a", request(20*time.Millisecond))
 	}
 	near := 0
 	for range 20 {
-		if ask(160*time.Millisecond) == "s/a" {
+		if request(160*time.Millisecond) == "s/a" {
 			near++
 		}
 	}
--- a/internal/scatter/missing_test.go
+++ b/internal/scatter/missing_test.go
@@ -10,20 +10,20 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// miss tells that the directory misses a server of service s, or does no longer.
-func (h *harness) miss(id string, missing bool) {
+// setMissing reports whether a server of service s is missing from the directory.
+func (h *harness) setMissing(id string, missing bool) {
 	h.step(scatter.ServersChanged{Servers: []scatter.Server{{ID: id, Service: "s", Address: id, Zone: "a", Slots: 2, Missing: missing}}})
 }
 
-// TestServerThatAnswersIsUsedThoughTheDirectoryMissesIt has the directory lose sight of
-// the only server that answers at once: it is used on as long as it answers.
+// TestServerThatAnswersIsUsedThoughTheDirectoryMissesIt makes the nearest server miss its
+// heartbeats at the directory: it is used for as long as it answers.
 func TestServerThatAnswersIsUsedThoughTheDirectoryMissesIt(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 1)
 	h.step(scatter.ServersChanged{Servers: []scatter.Server{{ID: "far", Service: "s", Address: "far", Zone: "b", Slots: 2}}})
 	h.arrive(singleRoute(true))
 	h.end(h.take()[0], good("x"))
-	h.miss("s/0", true)
+	h.setMissing("s/0", true)
 	for range 10 {
 		h.arrive(singleRoute(true))
 		sent := h.take()
@@ -34,13 +34,13 @@
 	}
 	h.advance(5 * time.Second)
 	h.arrive(singleRoute(true))
-	require.Equal(t, "far", h.take()[0].Server.ID, "it has not answered for long")
+	require.Equal(t, "far", h.take()[0].Server.ID, "it has not answered recently")
 }
 
 func TestHedgeGoesToAMissingServerWhereThereIsNoBetterOne(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 2)
-	h.miss("s/1", true)
+	h.setMissing("s/1", true)
 	h.arrive(gatherRoute("s"))
 	require.Equal(t, "s/0", h.take()[0].Server.ID)
 	h.advance(80 * time.Millisecond)
@@ -49,11 +49,11 @@
 	require.Equal(t, "s/1", sent[0].Server.ID)
 }
 
-func TestMissingServerThatFailsIsDoubted(t *testing.T) {
-	h := newHarness(t, plenty)
+func TestMissingServerThatFailsIsSuspected(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 2)
-	h.miss("s/1", true)
-	h.miss("s/0", true)
+	h.setMissing("s/1", true)
+	h.setMissing("s/0", true)
 	h.arrive(singleRoute(true))
 	first := h.take()[0]
 	h.end(first, failure(scatter.NotConnected, verdict.NotRun))
@@ -66,15 +66,15 @@
 	}
 }
 
-// TestUseOfAMissingServerIsToldOnce guards against a log that doesn't say which start of a server a
-// request was sent to that the directory misses, and against a line for each request.
-func TestUseOfAMissingServerIsToldOnce(t *testing.T) {
-	h := newHarness(t, plenty)
+// TestUseOfAMissingServerIsLoggedOnce guards against a log that doesn't show to which
+// incarnation of a missing server a request was sent, and against a log line for each request.
+func TestUseOfAMissingServerIsLoggedOnce(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	start := func(id string, missing bool) scatter.Server {
 		return scatter.Server{ID: id, Name: "i", Service: "s", Address: id, Zone: "a", Slots: 2, Missing: missing}
 	}
-	told := func() (details []string) {
-		for _, noted := range h.noted {
+	logLines := func() (details []string) {
+		for _, noted := range h.logged {
 			if noted.Belief == "missing_server_used" {
 				details = append(details, noted.Server.ID+" "+noted.Detail)
 			}
@@ -88,9 +88,9 @@
 		h.arrive(singleRoute(true))
 		h.end(h.take()[0], good("x"))
 	}
-	require.Equal(t, []string{"i#1 last_answer=never starts=[i#1]"}, told())
+	require.Equal(t, []string{"i#1 last_answer=never starts=[i#1]"}, logLines())
 	h.step(scatter.ServersChanged{Servers: []scatter.Server{start("i#1", false)}})
 	h.step(scatter.ServersChanged{Servers: []scatter.Server{start("i#1", true)}})
 	h.arrive(singleRoute(true))
-	require.Len(t, told(), 2, "missing anew")
+	require.Len(t, logLines(), 2, "missing again after it was not")
 }
--- a/internal/scatter/overload_test.go
+++ b/internal/scatter/overload_test.go
@@ -12,14 +12,14 @@
 	"github.com/martenstage/martenstage/internal/scatter"
 )
 
-// goodAfter is a good reply of a server that tells its load.
+// goodAfter is a good reply of a server that reports its load.
 func goodAfter(running, waiting int) scatter.Outcome {
 	outcome := good("x")
 	outcome.Load = message.Load{Known: true, Running: running, Waiting: waiting, Slots: 2}
 	return outcome
 }
 
-// learnTypical has the engine observe attempts of a route that take a time.
+// learnTypical makes the engine observe attempts of a route with the given duration.
 func (h *harness) learnTypical(route *routing.Route, took time.Duration) {
 	for range 40 {
 		h.arrive(route)
@@ -33,50 +33,50 @@
 	h.take()
 }
 
-// TestWhatIsDueFirstGoesFirst lets a route with little time go before one with more,
-// whatever their priorities, and both before what is overdue.
-func TestWhatIsDueFirstGoesFirst(t *testing.T) {
-	h := newHarness(t, plenty)
+// TestCallsAreSentInOrderOfDueTime checks that a route with little time goes before one with
+// more, whatever their priorities, and that overdue calls go last.
+func TestCallsAreSentInOrderOfDueTime(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 1)
-	patient, hasty := singleRoute(false), singleRoute(false)
-	hasty.Name, hasty.Target, hasty.Priority = "hasty", 50*time.Millisecond, 1
+	relaxed, urgent := singleRoute(false), singleRoute(false)
+	urgent.Name, urgent.Target, urgent.Priority = "hasty", 50*time.Millisecond, 1
 	for range 3 {
-		h.arrive(patient)
+		h.arrive(relaxed)
 	}
 	running := h.take()
-	overdue := h.arrive(hasty)
-	h.advance(hasty.Target + time.Millisecond)
-	second := h.arrive(patient)
-	first := h.arrive(hasty)
+	overdue := h.arrive(urgent)
+	h.advance(urgent.Target + time.Millisecond)
+	second := h.arrive(relaxed)
+	first := h.arrive(urgent)
 	for index, expected := range []scatter.RequestID{first, second, overdue} {
 		h.end(running[index], good("x"))
 		require.Equal(t, expected, h.take()[0].Request)
 	}
 }
 
-// TestWithoutATargetARequestIsDueAtItsDeadline lets a route without a target wait behind
-// one that has one.
+// TestWithoutATargetARequestIsDueAtItsDeadline checks that a route without a target is queued
+// behind one that has one.
 func TestWithoutATargetARequestIsDueAtItsDeadline(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 1)
-	hasty, patient := singleRoute(false), singleRoute(false)
-	patient.Name, patient.Target = "patient", 0
+	urgent, relaxed := singleRoute(false), singleRoute(false)
+	relaxed.Name, relaxed.Target = "patient", 0
 	for range 3 {
-		h.arrive(hasty)
+		h.arrive(urgent)
 	}
 	running := h.take()
-	second := h.arrive(patient)
-	first := h.arrive(hasty)
+	second := h.arrive(relaxed)
+	first := h.arrive(urgent)
 	for index, expected := range []scatter.RequestID{first, second} {
 		h.end(running[index], good("x"))
 		require.Equal(t, expected, h.take()[0].Request)
 	}
 }
 
-// TestCrowdedServerIsSentLittle keeps what can't be worked on with the routers,
-// where it goes out in the order of its urgency.
-func TestCrowdedServerIsSentLittle(t *testing.T) {
-	h := newHarness(t, plenty)
+// TestSaturatedServerIsSentLittle checks that work beyond a server's capacity stays at the
+// routers, which send it in order of urgency.
+func TestSaturatedServerIsSentLittle(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	h.step(scatter.RoutersCounted{Count: 4})
 	h.servers("s", 1)
 	route := singleRoute(false)
@@ -85,16 +85,16 @@
 	for range 3 {
 		h.arrive(route)
 	}
-	require.Len(t, h.take(), 1, "one attempt of each router at a server that has work")
+	require.Len(t, h.take(), 1, "one attempt of each router at a saturated server")
 	h.advance(500 * time.Millisecond)
 	h.arrive(route)
-	require.NotEmpty(t, h.take(), "an old report counts no more")
+	require.NotEmpty(t, h.take(), "an expired load report still counts")
 }
 
-// TestServerThatPausesIsAvoidedAndHedged has a server go silent: attempts that are
-// out go to another one long before their part is due, and new ones too.
-func TestServerThatPausesIsAvoidedAndHedged(t *testing.T) {
-	h := newHarness(t, plenty)
+// TestStalledServerIsAvoidedAndHedged makes a server stop answering: its attempts are hedged
+// elsewhere long before their part is due, and new ones go elsewhere too.
+func TestStalledServerIsAvoidedAndHedged(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 2)
 	route := singleRoute(true)
 	h.learnTypical(route, 10*time.Millisecond)
@@ -108,14 +108,14 @@
 		h.arrive(route)
 	}
 	for _, sent := range h.take() {
-		require.NotEqual(t, silent.Server.ID, sent.Server.ID, "nothing new to a server that pauses")
+		require.NotEqual(t, silent.Server.ID, sent.Server.ID, "new work sent to a stalled server")
 	}
 }
 
-// TestHedgeGoesOutInTimeThoughMostAreSlow caps the delay by what is left until the
-// part is due, when the quantile is as slow as the servers.
-func TestHedgeGoesOutInTimeThoughMostAreSlow(t *testing.T) {
-	h := newHarness(t, plenty)
+// TestHedgeIsSentInTimeThoughMostAttemptsAreSlow checks that the delay is limited by the time
+// left until the part is due when the quantile is as slow as the servers.
+func TestHedgeIsSentInTimeThoughMostAttemptsAreSlow(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	h.servers("s", 2)
 	route := singleRoute(true)
 	h.learnTypical(route, 180*time.Millisecond)
@@ -125,11 +125,11 @@
 	require.Len(t, h.take(), 1)
 }
 
-// TestBelowCapacityNothingWaits holds the policy for scarce room back where there is
-// room: every call goes out at once.
+// TestBelowCapacityNothingWaits guards against queueing while there is capacity: every call
+// must be sent at once.
 func TestBelowCapacityNothingWaits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := newHarness(t, plenty)
+		h := newHarness(t, ampleBudget)
 		h.servers("s", 2)
 		route := singleRoute(false)
 		for range rapid.IntRange(1, 40).Draw(t, "requests") {
@@ -142,30 +142,30 @@
 	})
 }
 
-// TestPartsStayInTheZoneWhileThereIsTime sends to a server of another zone only what
-// the one of the own zone would not answer well before it is due.
+// TestPartsStayInTheZoneWhileThereIsTime checks that a server of another zone is only used
+// when the one of the own zone is not expected to answer well before the due time.
 func TestPartsStayInTheZoneWhileThereIsTime(t *testing.T) {
-	h := newHarness(t, plenty)
+	h := newHarness(t, ampleBudget)
 	h.step(scatter.ServersChanged{Servers: []scatter.Server{
 		{ID: "near", Service: "s", Address: "near", Zone: "a", Slots: 4}, {ID: "far", Service: "s", Address: "far", Zone: "b", Slots: 4},
 	}})
-	patient, hasty := singleRoute(false), singleRoute(false)
-	hasty.Name, hasty.Target = "hasty", 20*time.Millisecond
-	h.learnTypical(patient, 10*time.Millisecond)
-	h.learnTypical(hasty, 10*time.Millisecond)
+	relaxed, urgent := singleRoute(false), singleRoute(false)
+	urgent.Name, urgent.Target = "hasty", 20*time.Millisecond
+	h.learnTypical(relaxed, 10*time.Millisecond)
+	h.learnTypical(urgent, 10*time.Millisecond)
 	for range 4 {
-		h.arrive(patient)
+		h.arrive(relaxed)
 	}
 	for _, sent := range h.take() {
 		require.Equal(t, "near", sent.Server.ID)
 	}
-	h.arrive(hasty)
-	require.Equal(t, "far", h.take()[0].Server.ID, "the near server has no free slot and there is little time")
+	h.arrive(urgent)
+	require.Equal(t, "far", h.take()[0].Server.ID, "the near server has no free slot and little time is left")
 }
 
-// TestCausesOfPartsThatAreDue names why each part is missing when it is due.
-func TestCausesOfPartsThatAreDue(t *testing.T) {
-	h := newHarness(t, plenty)
+// TestCausesOfOverdueParts checks the cause reported for each part that is missing when due.
+func TestCausesOfOverdueParts(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	for _, shard := range []string{"paused", "full"} {
 		h.servers(shard, 1)
 	}
@@ -182,6 +182,6 @@
 		causes[lack.Service] = lack.Cause
 	}
 	require.Equal(t, map[string]scatter.Cause{
-		"paused": scatter.CausePaused, "full": scatter.CauseNoRoom, "unknown": scatter.CauseNoServer,
+		"paused": scatter.CausePaused, "full": scatter.CauseNoCapacity, "unknown": scatter.CauseNoServer,
 	}, causes)
 }
--- a/internal/scatter/request.go
+++ b/internal/scatter/request.go
@@ -9,13 +9,13 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// request is one request without an answer.
+// request is a request that has not been answered.
 type request struct {
 	id       RequestID
 	route    *routing.Route
 	arrived  time.Time
 	deadline time.Time
-	// due is that of Arrived.
+	// due is Arrived.Due.
 	due      time.Time
 	calls    []*call
 	open     int
@@ -23,67 +23,67 @@
 	extras   int
 	denied   int
 	answered bool
-	// claims is that of Arrived.
+	// claims is Arrived.Claims.
 	claims bool
-	// replied says that a server has answered, broken counts attempts that broke off.
-	replied bool
-	broken  int
-	// held counts the calls that get no attempt for that.
-	held int
+	// replied says that a server has answered; brokenAttempts counts attempts that broke off.
+	replied        bool
+	brokenAttempts int
+	// heldCalls counts the calls that are held because of that.
+	heldCalls int
 }
 
-// call is what a request asks of one service.
+// call is the part of a request that goes to one service.
 type call struct {
 	request  *request
 	position int
 	group    *group
-	// tried are the servers that were sent to; live the attempts still out.
-	tried []*server
-	live  []*attempt
-	// unsent counts attempts that came to no connection.
+	// tried are the servers that attempts were sent to; inFlight are the attempts that have
+	// not ended.
+	tried    []*server
+	inFlight []*attempt
+	// unsent counts attempts that ended before the request was sent.
 	unsent int
-	// earlier is how many other routers may have sent an attempt.
-	earlier int
-	settled bool
-	waiting bool
-	// held says that it gets no attempt until a server has answered its request.
+	// priorAttempts is how many attempts other routers may have sent.
+	priorAttempts int
+	settled       bool
+	queued        bool
+	// held says that no attempt is sent until a server has answered the request.
 	held  bool
 	claim claim
-	// draw, from 0 to 1, decides whether the call is one of a roll-out's share.
-	draw float64
-	// claimDue says that the attempt that was claimed is to be sent as soon as it is
-	// granted.
-	claimDue bool
-	// patient says that there is a timer for the end of its wait for a server.
-	patient  bool
-	part     *message.Reply
-	verdicts []verdict.Verdict
-	last     Failure
-	// reply is the server's own failure, passed on if nothing better comes.
-	reply *message.Reply
-	steps []Step
+	// canaryDraw, from 0 to 1, decides whether the call is one of a rollout's canaries.
+	canaryDraw float64
+	// sendOnGrant says that the claimed attempt is to be sent as soon as it is granted.
+	sendOnGrant bool
+	// hasWaitTimer says that a timer for the end of the wait for a server is set.
+	hasWaitTimer bool
+	part         *message.Reply
+	verdicts     []verdict.Verdict
+	lastFailure  Failure
+	// failureReply is the server's own error reply, passed on if there is no better one.
+	failureReply *message.Reply
+	steps        []Step
 }
 
-// hasTried reports whether a call was sent to a server, or is out at the process that answers for it:
-// a server that started again may be known by two starts.
+// hasTried reports whether a call was sent to a server, or is in flight at the same process: a
+// server that restarted may be known by two incarnations.
 func (c *call) hasTried(candidate *server) bool {
-	return slices.Contains(c.tried, candidate) || slices.ContainsFunc(c.live, func(out *attempt) bool {
-		return out.server.sharesProcess(candidate)
+	return slices.Contains(c.tried, candidate) || slices.ContainsFunc(c.inFlight, func(a *attempt) bool {
+		return a.server.sharesProcess(candidate)
 	})
 }
 
-// maxSteps bounds the steps that are kept of a call.
+// maxSteps bounds the recorded steps of a call.
 const maxSteps = 12
 
-// note keeps a step of a call.
-func (e *Engine) note(called *call, step Step) {
-	repeated := len(called.steps) > 0 && called.steps[len(called.steps)-1].Kind == step.Kind
-	if repeated && (step.Kind == StepWaits || step.Kind == StepDenied) {
+// note records a step of a call.
+func (e *Engine) note(c *call, step Step) {
+	repeated := len(c.steps) > 0 && c.steps[len(c.steps)-1].Kind == step.Kind
+	if repeated && (step.Kind == StepQueued || step.Kind == StepDenied) {
 		return
 	}
-	if len(called.steps) < maxSteps {
-		step.After = e.now.Sub(called.request.arrived)
-		called.steps = append(called.steps, step)
+	if len(c.steps) < maxSteps {
+		step.After = e.now.Sub(c.request.arrived)
+		c.steps = append(c.steps, step)
 	}
 }
 
@@ -93,21 +93,21 @@
 	call    *call
 	server  *server
 	started time.Time
-	// expected is by when most attempts would have ended.
+	// expected is the time by which most attempts would have ended.
 	expected time.Time
 }
 
 // Bounds of attempts.
 const (
-	// maxUnsent bounds the servers that a call tries to connect to in vain.
+	// maxUnsent bounds the servers that a call fails to send to.
 	maxUnsent = 3
-	// An attempt that nobody waits for may go on for a while: closing costs a
-	// connection, and most end sooner. At a crowded server its work without use
-	// makes others late, so that it ends soon.
-	abortGrace        = 150 * time.Millisecond
-	abortGraceCrowded = 20 * time.Millisecond
-	// absentPatience is how long a call waits for a server to be known.
-	absentPatience = time.Second
+	// An attempt whose answer is no longer needed may go on for a while: aborting costs a
+	// connection, and most end sooner. At a saturated server its useless work delays others,
+	// so it is aborted sooner.
+	abortGrace          = 150 * time.Millisecond
+	abortGraceSaturated = 20 * time.Millisecond
+	// serverWaitTimeout is how long a call waits until a server is known.
+	serverWaitTimeout = time.Second
 )
 
 func (e *Engine) arrive(event Arrived) {
@@ -118,96 +118,96 @@
 		e.timers.add(timer{at: event.Due, kind: timerDue, request: event.ID})
 	}
 	for position, service := range event.Services {
-		called := &call{request: arrived, position: position, group: e.group(service), earlier: event.Earlier, draw: undrawn}
-		arrived.calls = append(arrived.calls, called)
+		c := &call{request: arrived, position: position, group: e.group(service), priorAttempts: event.Earlier, canaryDraw: undrawn}
+		arrived.calls = append(arrived.calls, c)
 	}
-	for _, called := range arrived.calls {
+	for _, c := range arrived.calls {
 		switch {
-		case called.earlier > 0 && called.maxAttempts() < 1:
-			e.settle(called)
+		case c.priorAttempts > 0 && c.maxAttempts() < 1:
+			e.settle(c)
 			continue
-		case called.earlier > 0:
-			e.dispatchExtra(called)
+		case c.priorAttempts > 0:
+			e.dispatchExtra(c)
 			continue
 		}
-		called.group.budget.earn(e.now, e.config.Budget, e.share(called.group))
-		e.dispatch(called, false)
-		e.serveGroup(called.group.service)
+		c.group.budget.earn(e.now, e.config.Budget, e.share(c.group))
+		e.dispatch(c, false)
+		e.dispatchQueue(c.group.service)
 	}
 	e.decide(arrived)
 }
 
-// dispatch sends an attempt of a call, lets it wait for room, or settles it when
-// there is no server.
-func (e *Engine) dispatch(called *call, extra bool) {
-	chosen, found := e.choose(called)
+// dispatch sends an attempt of a call, queues it until a server has capacity, or settles it
+// when there is no server.
+func (e *Engine) dispatch(c *call, extra bool) {
+	chosen, found := e.choose(c)
 	switch {
 	case found == available:
-		e.send(called, chosen, extra)
-	case found == absent && (len(called.tried) > 0 || e.now.Sub(called.request.arrived) >= absentPatience || e.withheld(called.group)):
-		if len(called.live) == 0 {
-			e.settle(called)
+		e.send(c, chosen, extra)
+	case found == absent && (len(c.tried) > 0 || e.now.Sub(c.request.arrived) >= serverWaitTimeout || e.allWithheld(c.group)):
+		if len(c.inFlight) == 0 {
+			e.settle(c)
 		}
-	case found == busy && e.canSpare(called):
-		e.settle(called)
-	case !called.waiting:
-		e.await(called, found)
+	case found == busy && e.canOmit(c):
+		e.settle(c)
+	case !c.queued:
+		e.await(c, found)
 	}
 }
 
-// withheld reports whether the only servers of a service are in evacuated zones or bear
-// no more for being cold, so that waiting for one to be known is of no use.
-func (e *Engine) withheld(of *group) bool {
-	cold := e.coldShare(of)
-	return len(of.servers) > 0 && !slices.ContainsFunc(of.servers, func(s *server) bool {
-		return !e.evacuated.Empty(e.now, s.Zone, s.Service) && !s.withheldCold(e.now, cold)
+// allWithheld reports whether all servers of a service are in evacuated zones or are cold and
+// at their limit, so that it is of no use to wait.
+func (e *Engine) allWithheld(g *group) bool {
+	cold := e.coldShare(g)
+	return len(g.servers) > 0 && !slices.ContainsFunc(g.servers, func(s *server) bool {
+		return !e.evacuated.Empty(e.now, s.Zone, s.Service) && !s.coldLimited(e.now, cold)
 	})
 }
 
-// view is what a choice for a call depends on beside the servers.
-func (e *Engine) view(called *call) choiceView {
-	view := choiceView{zone: e.config.Zone, share: e.share(called.group), random: e.random, evacuated: e.evacuated, cold: e.coldShare(called.group)}
-	asked := called.request
-	if !asked.due.IsZero() && !e.overdue(called) {
-		view.left = asked.due.Sub(e.now)
-		view.typical, view.ahead = e.typical(asked.route), called.group.took.Value()
+// view returns the inputs of a choice for a call other than the group.
+func (e *Engine) view(c *call) choiceView {
+	view := choiceView{zone: e.config.Zone, share: e.share(c.group), random: e.random, evacuated: e.evacuated, cold: e.coldShare(c.group)}
+	req := c.request
+	if !req.due.IsZero() && !e.overdue(c) {
+		view.timeLeft = req.due.Sub(e.now)
+		view.typicalTime, view.queueTime = e.typicalTime(req.route), c.group.attemptTime.Value()
 	}
 	return view
 }
 
-func (e *Engine) send(called *call, chosen *server, extra bool) {
-	e.last++
-	sent := &attempt{id: e.last, call: called, server: chosen, started: e.now}
+func (e *Engine) send(c *call, chosen *server, extra bool) {
+	e.lastAttempt++
+	sent := &attempt{id: e.lastAttempt, call: c, server: chosen, started: e.now}
 	e.attempts[sent.id] = sent
-	sent.expected = e.now.Add(e.patience(called.request.route, chosen))
-	chosen.inFlight[sent.id], chosen.sent = sent, e.now
-	called.spendGrant()
-	chosen.spendCold(e.now, e.coldShare(called.group))
-	called.tried = append(called.tried, chosen)
-	called.live = append(called.live, sent)
-	waiting := called.request
-	waiting.attempts++
+	sent.expected = e.now.Add(e.stallDelay(c.request.route, chosen))
+	chosen.inFlight[sent.id], chosen.lastSentAt = sent, e.now
+	c.consumeGrant()
+	chosen.spendColdToken(e.now, e.coldShare(c.group))
+	c.tried = append(c.tried, chosen)
+	c.inFlight = append(c.inFlight, sent)
+	pending := c.request
+	pending.attempts++
 	kind := StepSent
 	if extra {
-		waiting.extras++
+		pending.extras++
 		kind = StepRetried
-		if len(called.live) > 1 {
+		if len(c.inFlight) > 1 {
 			kind = StepHedged
 		}
 	}
-	e.note(called, Step{Kind: kind, Server: chosen.ID})
-	e.noteMissing(chosen)
-	e.emit(Send{Attempt: sent.id, Request: waiting.id, Server: chosen.Server, Deadline: waiting.deadline, Extra: extra})
-	if waiting.route.Repeatable && len(called.tried) < called.maxAttempts() {
-		delay := e.callHedgeDelay(called)
+	e.note(c, Step{Kind: kind, Server: chosen.ID})
+	e.logMissingUse(chosen)
+	e.emit(Send{Attempt: sent.id, Request: pending.id, Server: chosen.Server, Deadline: pending.deadline, Extra: extra})
+	if pending.route.Repeatable && len(c.tried) < c.maxAttempts() {
+		delay := e.callHedgeDelay(c)
 		e.timers.add(timer{at: e.now.Add(delay), kind: timerHedge, attempt: sent.id})
-		if waiting.claims {
+		if pending.claims {
 			e.timers.add(timer{at: e.now.Add(max(0, delay-claimLead)), kind: timerClaim, attempt: sent.id})
 		}
 	}
 }
 
-// end takes in the end of an attempt.
+// end handles the end of an attempt.
 func (e *Engine) end(event Ended) {
 	ended, known := e.attempts[event.Attempt]
 	if !known {
@@ -215,135 +215,135 @@
 	}
 	delete(e.attempts, event.Attempt)
 	delete(ended.server.inFlight, event.Attempt)
-	e.learn(ended, event.Outcome)
+	e.recordOutcome(ended, event.Outcome)
 	e.observeRollout(ended, event.Outcome)
-	called := ended.call
-	called.live = slices.DeleteFunc(called.live, func(a *attempt) bool { return a == ended })
-	called.request.observe(event.Outcome)
-	if !called.settled {
-		e.conclude(called, ended, event.Outcome)
+	c := ended.call
+	c.inFlight = slices.DeleteFunc(c.inFlight, func(a *attempt) bool { return a == ended })
+	c.request.countBroken(event.Outcome)
+	if !c.settled {
+		e.applyOutcome(c, ended, event.Outcome)
 	}
-	e.reviewHeld(called.request)
-	e.serveGroup(ended.server.Service)
+	e.releaseHeld(c.request)
+	e.dispatchQueue(ended.server.Service)
 }
 
-// conclude takes the outcome of an attempt into its open call.
-func (e *Engine) conclude(called *call, ended *attempt, outcome Outcome) {
-	e.note(called, Step{Kind: StepEnded, Server: ended.server.ID, Failure: outcome.Failure})
-	called.verdicts = append(called.verdicts, outcome.Verdict)
-	called.last = outcome.Failure
+// applyOutcome applies the outcome of an attempt to its open call.
+func (e *Engine) applyOutcome(c *call, ended *attempt, outcome Outcome) {
+	e.note(c, Step{Kind: StepEnded, Server: ended.server.ID, Failure: outcome.Failure})
+	c.verdicts = append(c.verdicts, outcome.Verdict)
+	c.lastFailure = outcome.Failure
 	if outcome.Failure == NoFailure && outcome.Reply.Succeeded() {
-		called.part = outcome.Reply
-		if called.request.route.Gathers() {
-			e.emit(Part{Request: called.request.id, Shard: called.position, Reply: outcome.Reply})
+		c.part = outcome.Reply
+		if c.request.route.Gathers() {
+			e.emit(Part{Request: c.request.id, Shard: c.position, Reply: outcome.Reply})
 		}
-		e.settle(called)
-		e.decide(called.request)
+		e.settle(c)
+		e.decide(c.request)
 		return
 	}
 	if outcome.Reply != nil && outcome.Failure == NoFailure {
-		called.reply = outcome.Reply
+		c.failureReply = outcome.Reply
 	}
 	if outcome.Failure == NotConnected || outcome.Failure == NotSent {
-		called.unsent++
-		called.request.attempts--
+		c.unsent++
+		c.request.attempts--
 	}
-	if len(called.live) == 0 {
-		e.retry(called, outcome)
-		e.decide(called.request)
+	if len(c.inFlight) == 0 {
+		e.retry(c, outcome)
+		e.decide(c.request)
 	}
 }
 
 // retry sends a call again after its last attempt failed, or settles it.
-func (e *Engine) retry(called *call, outcome Outcome) {
-	route := called.request.route
-	sent := len(called.tried) - called.unsent
+func (e *Engine) retry(c *call, outcome Outcome) {
+	route := c.request.route
+	sent := len(c.tried) - c.unsent
 	mayRun := route.Repeatable || outcome.Verdict == verdict.NotRun
-	if !mayRun || sent >= called.maxAttempts() || called.unsent > maxUnsent {
-		e.settle(called)
+	if !mayRun || sent >= c.maxAttempts() || c.unsent > maxUnsent {
+		e.settle(c)
 		return
 	}
-	e.dispatchExtra(called)
+	e.dispatchExtra(c)
 }
 
-// maxAttempts bounds the servers that a call may be sent to. Each earlier router is taken
-// to have sent one attempt.
-func (c *call) maxAttempts() int { return max(1, c.request.route.MaxAttempts) - c.earlier }
+// maxAttempts bounds the servers that a call may be sent to. Each prior router is assumed to
+// have sent one attempt.
+func (c *call) maxAttempts() int { return max(1, c.request.route.MaxAttempts) - c.priorAttempts }
 
-// isExtra reports whether the next attempt of a call is one beyond the first.
-func (c *call) isExtra() bool { return c.earlier > 0 || len(c.tried) > c.unsent }
+// isExtra reports whether the next attempt of a call is beyond the first.
+func (c *call) isExtra() bool { return c.priorAttempts > 0 || len(c.tried) > c.unsent }
 
-// dispatchExtra is dispatch of what may be a retry. One that the budget does not
-// pay for yet waits until first attempts have earned it.
-func (e *Engine) dispatchExtra(called *call) {
-	if called.request.holds() {
-		e.hold(called)
+// dispatchExtra dispatches a call whose next attempt may be a retry. A retry that the budget
+// denies waits until first attempts have earned a token.
+func (e *Engine) dispatchExtra(c *call) {
+	if c.request.mustHold() {
+		e.hold(c)
 		return
 	}
-	if !called.isExtra() {
-		e.dispatch(called, false)
+	if !c.isExtra() {
+		e.dispatch(c, false)
 		return
 	}
-	_, found := e.choose(called)
+	_, found := e.choose(c)
 	switch {
-	case found == available && !e.mayRepeat(called):
-		if called.claim == refused && len(called.live) == 0 {
-			e.settle(called)
+	case found == available && !e.mayRepeat(c):
+		if c.claim == refused && len(c.inFlight) == 0 {
+			e.settle(c)
 		}
-	case found == absent || found == busy && e.canSpare(called):
-		e.settle(called)
+	case found == absent || found == busy && e.canOmit(c):
+		e.settle(c)
 	case found == busy:
-		called.enqueue()
-	case !e.pay(called, retryReserve):
-		if called.refusable() {
-			e.settle(called)
+		c.enqueue()
+	case !e.spendToken(c, retryReserve):
+		if c.refusable() {
+			e.settle(c)
 			return
 		}
-		called.enqueue()
+		c.enqueue()
 	default:
-		e.dispatch(called, true)
+		e.dispatch(c, true)
 	}
 }
 
-// refusable reports whether the request of a call that the budget does not pay for can be
-// refused at once: it has not run anywhere, so that its client may send it again, which
-// needs no token. A shard's call waits, as its request may suffice without it.
+// refusable reports whether a call that the budget denies a retry can be refused at once: its
+// request has not run anywhere, so that the client may send it again, which needs no token. A
+// shard's call waits instead, as its request may complete without it.
 func (c *call) refusable() bool {
-	return !c.request.route.Gathers() && c.earlier == 0 && len(c.live) == 0 && verdict.Combine(c.verdicts...) == verdict.NotRun
+	return !c.request.route.Gathers() && c.priorAttempts == 0 && len(c.inFlight) == 0 && verdict.Combine(c.verdicts...) == verdict.NotRun
 }
 
-// Tokens that stay in the budget: a retry is known to be needed, a hedge only
-// likely to be.
+// Tokens that must remain in the budget: a retry is certainly needed, a hedge only likely.
 const (
 	retryReserve = 0
 	hedgeReserve = 0.3
 )
 
-func (e *Engine) pay(called *call, reserve float64) bool {
-	if called.group.budget.spend(e.now, e.config.Budget, e.share(called.group), reserve) {
+func (e *Engine) spendToken(c *call, reserve float64) bool {
+	if c.group.budget.spend(e.now, e.config.Budget, e.share(c.group), reserve) {
 		return true
 	}
-	called.request.denied++
-	e.note(called, Step{Kind: StepDenied})
+	c.request.denied++
+	e.note(c, Step{Kind: StepDenied})
 	return false
 }
 
 // settle closes a call, with a part or without.
-func (e *Engine) settle(called *call) {
-	if called.settled {
+func (e *Engine) settle(c *call) {
+	if c.settled {
 		return
 	}
-	called.settled, called.waiting = true, false
-	called.request.open--
-	e.abortLater(called)
+	c.settled, c.queued = true, false
+	c.request.open--
+	e.abortLater(c)
 }
 
-// abortLater lets attempts that nobody waits for end by themselves for a while.
-func (e *Engine) abortLater(called *call) {
-	for _, left := range called.live {
+// abortLater gives attempts whose answers are no longer needed a grace period to end by
+// themselves.
+func (e *Engine) abortLater(c *call) {
+	for _, left := range c.inFlight {
 		grace := abortGrace
-		if left.server.crowded(e.now) {
-			grace = abortGraceCrowded
+		if left.server.saturated(e.now) {
+			grace = abortGraceSaturated
 		}
 		e.timers.add(timer{at: e.now.Add(grace), kind: timerAbort, attempt: left.id})
 	}
@@ -351,19 +351,19 @@
 
 // abandon drops a request without an answer.
 func (e *Engine) abandon(id RequestID) {
-	waiting, ok := e.requests[id]
+	pending, ok := e.requests[id]
 	if !ok {
 		return
 	}
-	e.emit(Dropped{Request: id, Result: e.result(waiting)})
-	e.close(waiting)
+	e.emit(Dropped{Request: id, Result: e.result(pending)})
+	e.close(pending)
 }
 
 // close ends a request: its open calls are settled and nothing more is sent.
 func (e *Engine) close(closed *request) {
 	delete(e.requests, closed.id)
 	closed.answered = true
-	for _, called := range closed.calls {
-		e.settle(called)
+	for _, c := range closed.calls {
+		e.settle(c)
 	}
 }
--- a/internal/scatter/restarted_test.go
+++ b/internal/scatter/restarted_test.go
@@ -9,8 +9,8 @@
 	"github.com/martenstage/martenstage/internal/scatter"
 )
 
-// startAgain has server x of service s, which answers, start again beside server y.
-func startAgain(h *harness, replaced bool) {
+// restart restarts server x of service s, which has answered, and adds server y.
+func restart(h *harness, replaced bool) {
 	first := scatter.Server{ID: "x#1", Name: "x", Service: "s", Address: "x", Zone: "a", Slots: 4}
 	h.step(scatter.ServersChanged{Servers: []scatter.Server{first}})
 	h.arrive(singleRoute(true))
@@ -21,12 +21,12 @@
 	h.step(scatter.ServersChanged{Servers: []scatter.Server{first, second, other}})
 }
 
-// TestRestartedServerBearsTheWorkOfTwo guards against a server that is sent twice what its slots take,
-// because two of its starts are known and each is counted by itself.
-func TestRestartedServerBearsTheWorkOfTwo(t *testing.T) {
+// TestRestartedServerIsLoadedAsOneServer guards against sending a server twice what its slots
+// take because two of its incarnations are known and each is counted separately.
+func TestRestartedServerIsLoadedAsOneServer(t *testing.T) {
 	const requests = 8
-	h := newHarness(t, plenty)
-	startAgain(h, true)
+	h := newHarness(t, ampleBudget)
+	restart(h, true)
 	for range requests {
 		h.arrive(singleRoute(true))
 	}
@@ -38,18 +38,18 @@
 	require.Equal(t, map[string]int{"x": requests / 2, "y": requests / 2}, byName)
 }
 
-// TestRetryReachesAServerThatWasTriedUnderItsEarlierStart guards against two attempts of a request that
-// are out at one process at the same time, under two of its starts.
-func TestRetryReachesAServerThatWasTriedUnderItsEarlierStart(t *testing.T) {
-	h := newHarness(t, plenty)
+// TestHedgeAvoidsAProcessThatWasTriedAsAnEarlierIncarnation guards against two attempts of a
+// request that are in flight at the same process under two of its incarnations.
+func TestHedgeAvoidsAProcessThatWasTriedAsAnEarlierIncarnation(t *testing.T) {
+	h := newHarness(t, ampleBudget)
 	h.step(scatter.ServersChanged{Servers: []scatter.Server{{ID: "x#1", Name: "x", Service: "s", Address: "x", Zone: "a", Slots: 4}}})
 	h.arrive(singleRoute(true))
 	require.Len(t, h.take(), 1)
-	startAgain := []scatter.Server{
+	incarnations := []scatter.Server{
 		{ID: "x#1", Name: "x", Service: "s", Address: "x", Zone: "a", Slots: 4, Missing: true, Replaced: true},
 		{ID: "x#2", Name: "x", Service: "s", Address: "x", Zone: "a", Slots: 4},
 	}
-	h.step(scatter.ServersChanged{Servers: startAgain})
+	h.step(scatter.ServersChanged{Servers: incarnations})
 	h.advance(900 * time.Millisecond)
-	require.Empty(t, h.take(), "a hedge at the process that has the request")
+	require.Empty(t, h.take(), "hedge sent to the process that already has the request")
 }
--- a/internal/scatter/rollouts.go
+++ b/internal/scatter/rollouts.go
@@ -7,16 +7,16 @@
 	"github.com/martenstage/martenstage/internal/rollout"
 )
 
-// RolloutsChanged tells, for all services with a roll-out, which servers calls may go to.
+// RolloutsChanged reports, for all services with a rollout, which versions calls may go to.
 type RolloutsChanged struct{ Rules map[string]rollout.Rule }
 
 func (RolloutsChanged) isEvent() {}
 
-// Observed tells how an attempt at a service with a running roll-out ended.
+// Observed reports the outcome of an attempt at a service with a running rollout.
 type Observed struct {
 	Service string
 	Route   string
-	// New says that the server is of the new version, Bad that it failed.
+	// New says that the server runs the new version, Bad that the attempt failed.
 	New  bool
 	Bad  bool
 	Took time.Duration
@@ -24,33 +24,35 @@
 
 func (Observed) isCommand() {}
 
-// undrawn is the draw of a call that was not made yet.
+// undrawn marks a call whose canary draw has not been made yet.
 const undrawn = -1
 
-// choose returns the server for the next attempt of a call, by the roll-out of its service.
-func (e *Engine) choose(called *call) (*server, availability) {
-	view := e.view(called)
-	rule, ruled := e.rollouts[called.group.service]
+// choose returns the server for the next attempt of a call, under the rollout of its service.
+func (e *Engine) choose(c *call) (*server, availability) {
+	view := e.view(c)
+	rule, ruled := e.rollouts[c.group.service]
 	if !ruled {
-		return called.group.choose(e.now, called, view)
+		return c.group.choose(e.now, c, view)
 	}
-	if called.draw == undrawn {
-		called.draw = e.random.Float64()
+	if c.canaryDraw == undrawn {
+		c.canaryDraw = e.random.Float64()
 	}
-	first := len(called.tried) == 0 && called.earlier == 0
-	view.rule, view.side = rule, rule.SideOf(called.draw, first, called.group.offers(e.now, rule.Target))
-	chosen, found := called.group.choose(e.now, called, view)
+	first := len(c.tried) == 0 && c.priorAttempts == 0
+	view.rule, view.side = rule, rule.SideOf(c.canaryDraw, first, c.group.offersVersion(e.now, rule.Target))
+	chosen, found := c.group.choose(e.now, c, view)
 	if found != available && view.side == rollout.New && rule.Phase != rollout.Shifted {
-		// A call is not worse served for being drawn as a canary.
+		// A call that was drawn as a canary still gets a server if only the old version has
+		// capacity.
 		view.side = rollout.Old
-		return called.group.choose(e.now, called, view)
+		return c.group.choose(e.now, c, view)
 	}
 	return chosen, found
 }
 
-// changeRollouts takes in where calls may go. Servers that a roll-out has replaced leave with
-// its end: they stop without a word, and what the directory tells of them may come later.
-func (e *Engine) changeRollouts(rules map[string]rollout.Rule) {
+// updateRollouts sets which versions calls may go to. Servers of the old version are marked as
+// leaving when a rollout ends: they stop without notice, and the directory may report it
+// later.
+func (e *Engine) updateRollouts(rules map[string]rollout.Rule) {
 	for service, rule := range rules {
 		if rule.Phase != rollout.Done || !e.rollouts[service].Phase.Running() {
 			continue
@@ -63,18 +65,18 @@
 		}
 	}
 	e.rollouts = rules
-	e.serveWaiting()
+	e.dispatchWaiting()
 }
 
-// offers reports whether a server of a version may get work.
-func (g *group) offers(now time.Time, version string) bool {
+// offersVersion reports whether a server of a version may get work.
+func (g *group) offersVersion(now time.Time, version string) bool {
 	return slices.ContainsFunc(g.servers, func(s *server) bool {
 		return s.Version == version && s.usable() && s.condition(now) < missing
 	})
 }
 
-// observeRollout tells of an attempt at a service with a running roll-out. Refusals and
-// connections that did not come up say nothing on the version.
+// observeRollout reports an attempt at a service with a running rollout. Refusals and failed
+// connections say nothing about the version.
 func (e *Engine) observeRollout(ended *attempt, outcome Outcome) {
 	rule, ruled := e.rollouts[ended.server.Service]
 	if !ruled || !rule.Phase.Running() {
@@ -90,17 +92,18 @@
 	case Broken, TimedOut:
 		observed.Bad = true
 	case Aborted:
-		// It took at least that long.
+		// The true duration is at least as long.
 	default:
 		return
 	}
 	e.emit(observed)
 }
 
-// InFlightBeside counts the attempts at servers of a service of any version but one.
+// InFlightBeside counts the attempts in flight at servers of a service with any version but
+// the given one.
 func (e *Engine) InFlightBeside(service, version string) (count int) {
-	for _, out := range e.attempts {
-		if out.server.Service == service && out.server.Version != version {
+	for _, a := range e.attempts {
+		if a.server.Service == service && a.server.Version != version {
 			count++
 		}
 	}
--- a/internal/scatter/shedding_test.go
+++ b/internal/scatter/shedding_test.go
@@ -12,17 +12,17 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// shedding is what became of the calls of a service most of whose servers shed.
+// shedding counts the outcomes of the calls to a service most of whose servers shed load.
 type shedding struct{ calls, refused, failed int }
 
-// playShedding has a router ask a shard of 21 servers ten times a second, of which 17 refuse
-// whatever comes, and the others answer in 28 ms: the load of a gatherer in a large fleet
-// while 0.8 of a service sheds. It returns what happened after a time to find out.
+// runShedding sends ten requests a second to a shard of 21 servers, of which 17 refuse
+// everything and the others answer in 28 ms: the load of a gatherer in a large fleet while 80
+// % of a service's servers shed load. It counts outcomes after a warm-up.
 //
-// The servers of the router's own zone are the first ones, so that they shed.
-func playShedding(t *testing.T, near int, findOut, over time.Duration) shedding {
-	const servers, shedders, every, work = 21, 17, 100 * time.Millisecond, 28 * time.Millisecond
-	h := newHarness(t, plenty)
+// The servers in the router's own zone come first, so that they are among those that shed.
+func runShedding(t *testing.T, near int, warmUp, over time.Duration) shedding {
+	const servers, sheddingServers, every, work = 21, 17, 100 * time.Millisecond, 28 * time.Millisecond
+	h := newHarness(t, ampleBudget)
 	for number := range servers {
 		zone := "b"
 		if number < near {
@@ -34,13 +34,13 @@
 	route := gatherRoute("s")
 	route.LeastShare = 1
 	var result shedding
-	type ending struct {
+	type pendingEnd struct {
 		at    time.Time
 		event scatter.Ended
 	}
-	var due []ending
+	var due []pendingEnd
 	handled := 0
-	measured := h.now.Add(findOut)
+	measured := h.now.Add(warmUp)
 	for end := measured.Add(over); h.now.Before(end); {
 		id := h.arrive(route)
 		counts := !h.now.Before(measured)
@@ -54,13 +54,13 @@
 				require.NoError(t, err)
 				outcome := scatter.Outcome{Failure: scatter.Refused, Verdict: verdict.NotRun}
 				took := time.Millisecond
-				if number >= shedders {
+				if number >= sheddingServers {
 					outcome = scatter.Outcome{Verdict: verdict.Ran, Reply: &message.Reply{Status: 200}}
 					took = work
 				} else if counts {
 					result.refused++
 				}
-				due = append(due, ending{at: h.now.Add(took), event: scatter.Ended{Attempt: sent.Attempt, Outcome: outcome}})
+				due = append(due, pendingEnd{at: h.now.Add(took), event: scatter.Ended{Attempt: sent.Attempt, Outcome: outcome}})
 			}
 			left := due[:0]
 			for _, one := range due {
@@ -79,11 +79,11 @@
 	return result
 }
 
-// TestServersThatShedAreAskedSeldom replays that load: once a router has met the servers that
-// refuse, nearly all calls go to those that don't.
-func TestServersThatShedAreAskedSeldom(t *testing.T) {
+// TestServersThatShedLoadGetFewRequests checks that, once a router has sent to the servers
+// that refuse, nearly all calls go to those that don't.
+func TestServersThatShedLoadGetFewRequests(t *testing.T) {
 	for _, near := range []int{21, 4, 0} {
-		result := playShedding(t, near, 4*time.Second, 20*time.Second)
+		result := runShedding(t, near, 4*time.Second, 20*time.Second)
 		require.Equal(t, 200, result.calls)
 		require.LessOrEqual(t, result.failed, result.calls/50, "%d near", near)
 		require.LessOrEqual(t, result.refused, result.calls/3, "%d near", near)
--- a/internal/scatter/timers.go
+++ b/internal/scatter/timers.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// timerKind says what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind uint8
 
 const (
 	timerHedge timerKind = iota
 	timerDeadline
 	timerAbort
-	timerRoom
+	timerCapacity
 	timerDue
 	timerClaim
 )
 
-// timer is one thing to look at later. Timers are never removed: one whose
-// request or attempt is gone does nothing.
+// timer is a scheduled action. Timers are never removed: one whose request or attempt has
+// ended does nothing.
 type timer struct {
 	at      time.Time
 	kind    timerKind
@@ -42,7 +42,7 @@
 
 func (h *timerHeap) add(added timer) { heap.Push(h, added) }
 
-// due takes the next timer out if its time has come.
+// due removes and returns the next timer if its time has come.
 func (h *timerHeap) due(now time.Time) (timer, bool) {
 	if len(*h) == 0 || (*h)[0].at.After(now) {
 		return timer{}, false
--- a/internal/scatter/waiting.go
+++ b/internal/scatter/waiting.go
@@ -6,72 +6,70 @@
 	"slices"
 )
 
-// enqueue lets a call wait in the queue of its service.
+// enqueue adds a call to the queue of its service.
 func (c *call) enqueue() {
-	c.waiting = true
-	c.group.waiting = append(c.group.waiting, c)
+	c.queued = true
+	c.group.queue = append(c.group.queue, c)
 }
 
-// await lets a call wait for room, or for a server to be known.
-func (e *Engine) await(called *call, found availability) {
-	e.note(called, Step{Kind: StepWaits})
-	called.enqueue()
-	if found == absent && !called.patient {
-		called.patient = true
-		e.timers.add(timer{at: called.request.arrived.Add(absentPatience), kind: timerRoom, service: called.group.service})
+// await queues a call until a server has capacity or becomes known.
+func (e *Engine) await(c *call, found availability) {
+	e.note(c, Step{Kind: StepQueued})
+	c.enqueue()
+	if found == absent && !c.hasWaitTimer {
+		c.hasWaitTimer = true
+		e.timers.add(timer{at: c.request.arrived.Add(serverWaitTimeout), kind: timerCapacity, service: c.group.service})
 	}
 }
 
-// canSpare reports whether a shard whose servers just refused work for want of
-// room can be left out of an answer, so that what it still does goes to requests
-// that need it.
-func (e *Engine) canSpare(called *call) bool {
-	waiting := called.request
-	if !waiting.route.Gathers() || !called.group.full(e.now) {
+// canOmit reports whether a shard whose servers just refused work as overloaded can be omitted
+// from an answer, so that its remaining capacity serves requests that need it.
+func (e *Engine) canOmit(c *call) bool {
+	pending := c.request
+	if !pending.route.Gathers() || !c.group.hasFull(e.now) {
 		return false
 	}
 	missing := 0
-	for _, other := range waiting.calls {
+	for _, other := range pending.calls {
 		if other.settled && other.part == nil {
 			missing++
 		}
 	}
-	return share(len(waiting.calls)-missing-1, len(waiting.calls)) >= waiting.route.LeastShare
+	return share(len(pending.calls)-missing-1, len(pending.calls)) >= pending.route.LeastShare
 }
 
-// serveWaiting sends what waits wherever there is room now.
-func (e *Engine) serveWaiting() {
+// dispatchWaiting dispatches the queued calls of all services where there is capacity now.
+func (e *Engine) dispatchWaiting() {
 	for _, service := range slices.Sorted(maps.Keys(e.groups)) {
-		e.serveGroup(service)
+		e.dispatchQueue(service)
 	}
 }
 
-// serveGroup sends calls of a service that wait for room, the most urgent first.
-func (e *Engine) serveGroup(service string) {
-	in := e.group(service)
-	if len(in.waiting) == 0 {
+// dispatchQueue dispatches the queued calls of a service, the most urgent first.
+func (e *Engine) dispatchQueue(service string) {
+	grp := e.group(service)
+	if len(grp.queue) == 0 {
 		return
 	}
-	waiting := slices.DeleteFunc(in.waiting, func(c *call) bool { return !c.waiting })
-	slices.SortStableFunc(waiting, e.compareUrgency)
-	in.waiting = nil
-	for _, called := range waiting {
-		called.waiting = false
-		e.dispatchExtra(called)
+	pending := slices.DeleteFunc(grp.queue, func(c *call) bool { return !c.queued })
+	slices.SortStableFunc(pending, e.compareUrgency)
+	grp.queue = nil
+	for _, c := range pending {
+		c.queued = false
+		e.dispatchExtra(c)
 		switch {
-		case called.settled:
-			e.decide(called.request)
-		case called.held:
-			e.reviewHeld(called.request)
+		case c.settled:
+			e.decide(c.request)
+		case c.held:
+			e.releaseHeld(c.request)
 		}
 	}
 }
 
-// compareUrgency orders calls that wait for room. Those whose parts can still be in
-// when they are due go first, since later ones are worth little, and a queue that is
-// longer than the time until then would make all late; of them the first due. The
-// others go by the priority of their routes. Other orders served alike or worse
-// (docs/results/0013).
+// compareUrgency orders queued calls. Calls whose parts can still be in time go first, by due
+// time, since later parts have little value, and a queue longer than the remaining time would
+// make all of them late. The others go by the priority of their routes. Other orders performed
+// no better (docs/results/0013).
 func (e *Engine) compareUrgency(a, b *call) int {
 	overdueA, overdueB := e.overdue(a), e.overdue(b)
 	switch {
@@ -88,8 +86,8 @@
 	)
 }
 
-// overdue reports whether the reply to a call can't be in when it is due.
-func (e *Engine) overdue(waiting *call) bool {
-	due := waiting.request.due
-	return !due.IsZero() && e.now.Add(e.quickest(waiting.request.route)).After(due)
+// overdue reports whether the reply to a call can't arrive by its due time.
+func (e *Engine) overdue(pending *call) bool {
+	due := pending.request.due
+	return !due.IsZero() && e.now.Add(e.unqueuedTime(pending.request.route)).After(due)
 }
