--- a/internal/exchange/attempt.go
+++ b/internal/exchange/attempt.go
@@ -16,46 +16,46 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// Attempt is one sending of a request to one instance.
+// Attempt is one try to send a request to one instance.
 type Attempt struct {
 	pool     *Pool
 	request  *Encoded
 	server   scatter.Server
 	deadline time.Time
-	// chosen is when the server was chosen.
-	chosen time.Time
+	// chosenAt is when the server was chosen.
+	chosenAt time.Time
 
 	mutex sync.Mutex
-	// cancel ends a dial that is under way; nil for none.
-	cancel context.CancelFunc
-	used   *connection
-	ended  bool
+	// cancelDial cancels a dial in progress; nil for none.
+	cancelDial context.CancelFunc
+	conn       *connection
+	ended      bool
 }
 
-// Start prepares an attempt; Run carries it out.
+// Start prepares an attempt for Run.
 func (p *Pool) Start(request *Encoded, server scatter.Server, deadline time.Time) *Attempt {
-	return &Attempt{pool: p, request: request, server: server, deadline: deadline, chosen: steadyclock.Now()}
+	return &Attempt{pool: p, request: request, server: server, deadline: deadline, chosenAt: steadyclock.Now()}
 }
 
-// ServerID names the instance that the attempt is for.
+// ServerID returns the ID of the instance that the attempt is for.
 func (a *Attempt) ServerID() string { return a.server.ID }
 
-// SendWithin is within which time after the choice of its server a request is sent, or not at
-// all: longer than a connection takes to come up. A router that stood still longer chooses anew.
-const SendWithin = 2 * dialTimeout
+// MaxSendDelay is the maximum time between the choice of a server and the sending of the
+// request; a request delayed for longer is not sent. It exceeds the time to open a connection,
+// so that only a router that was suspended in between has to choose again.
+const MaxSendDelay = 2 * dialTimeout
 
-// maxReplyBytes bounds the body of an answer.
+// maxReplyBytes bounds the body of a reply.
 const maxReplyBytes = 16 << 20
 
-// maxSurplus is how many answers to other requests are passed over.
-const maxSurplus = 2
+// maxUnexpectedReplies is how many replies to other requests are skipped.
+const maxUnexpectedReplies = 2
 
-// replyGrace is how much longer than its deadline an attempt is waited for: a
-// server that ends at the deadline says so a little later.
+// replyGrace is how long after its deadline a reply is still accepted: a server that stops at
+// the deadline reports so a little later.
 const replyGrace = 20 * time.Millisecond
 
-// Run sends the request and waits for the answer. It returns the one outcome of
-// the attempt.
+// Run sends the request, waits for the reply and returns the outcome of the attempt.
 func (a *Attempt) Run() scatter.Outcome {
 	outcome := a.run()
 	a.pool.ended.WithLabelValues(outcome.Failure.String()).Inc()
@@ -63,40 +63,40 @@
 }
 
 func (a *Attempt) run() scatter.Outcome {
-	used, err := a.connect()
+	conn, err := a.connect()
 	if err != nil {
 		a.pool.failed.Inc()
 		return scatter.Outcome{Failure: scatter.NotConnected, Verdict: verdict.NotRun}
 	}
-	if steadyclock.Since(a.chosen) > SendWithin {
-		a.pool.put(a.server.ID, used)
+	if steadyclock.Since(a.chosenAt) > MaxSendDelay {
+		a.pool.put(a.server.ID, conn)
 		return scatter.Outcome{Failure: scatter.NotSent, Verdict: verdict.NotRun}
 	}
-	if !a.use(used) {
-		a.pool.put(a.server.ID, used)
+	if !a.registerConnection(conn) {
+		a.pool.put(a.server.ID, conn)
 		return scatter.Outcome{Failure: scatter.Aborted, Verdict: verdict.NotRun}
 	}
-	_ = used.SetDeadline(steadyclock.Runtime(a.deadline.Add(replyGrace)))
-	unproved := !used.proved
-	written := a.write(used)
-	outcome, reusable := a.read(used)
-	if unproved && outcome.Failure == scatter.Broken && used.read == 0 {
+	_ = conn.SetDeadline(steadyclock.Runtime(a.deadline.Add(replyGrace)))
+	first := !conn.hasReplied
+	written := a.write(conn)
+	outcome, reusable := a.read(conn)
+	if first && outcome.Failure == scatter.Broken && conn.bytesRead == 0 {
 		outcome.Failure = scatter.Unaccepted
 	}
-	used.proved = true
-	if !a.release() {
+	conn.hasReplied = true
+	if !a.finish() {
 		reusable = false
 		if outcome.Failure != scatter.NoFailure {
 			outcome.Failure = scatter.Aborted
 		}
 	}
-	// The rest of a request whose answer came early is never replaced by the next
-	// request: the connection ends with it.
+	// If the reply came before the request was fully written, the rest of it must not be
+	// followed by another request: the connection is closed.
 	if !reusable || !isDone(written) {
-		_ = used.Close()
+		_ = conn.Close()
 		return outcome
 	}
-	a.pool.put(a.server.ID, used)
+	a.pool.put(a.server.ID, conn)
 	return outcome
 }
 
@@ -115,7 +115,7 @@
 	}
 	ctx, cancel := steadyclock.WithDeadline(context.Background(), a.deadline)
 	defer cancel()
-	if !a.dials(cancel) {
+	if !a.registerDial(cancel) {
 		return nil, context.Canceled
 	}
 	dialed, err := a.pool.dial(ctx, a.server.Address)
@@ -126,36 +126,36 @@
 	return newConnection(dialed), nil
 }
 
-// dials lets Abort end a dial, unless the attempt was aborted before.
-func (a *Attempt) dials(cancel context.CancelFunc) bool {
+// registerDial lets Abort cancel a dial. It returns false if the attempt was aborted already.
+func (a *Attempt) registerDial(cancel context.CancelFunc) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.cancel = cancel
+	a.cancelDial = cancel
 	return !a.ended
 }
 
-// use makes a connection the one that Abort closes, unless the attempt was
-// aborted before.
-func (a *Attempt) use(used *connection) bool {
+// registerConnection lets Abort close a connection. It returns false if the attempt was
+// aborted already.
+func (a *Attempt) registerConnection(conn *connection) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.ended {
 		return false
 	}
-	a.used = used
+	a.conn = conn
 	return true
 }
 
-// release reports whether the attempt was not aborted.
-func (a *Attempt) release() bool {
+// finish ends the attempt and reports whether it was not aborted before.
+func (a *Attempt) finish() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	aborted := a.ended
-	a.ended, a.used = true, nil
+	a.ended, a.conn = true, nil
 	return !aborted
 }
 
-// Abort ends the attempt: the server sees the connection close.
+// Abort ends the attempt by closing its connection.
 func (a *Attempt) Abort() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -163,29 +163,29 @@
 		return
 	}
 	a.ended = true
-	if a.cancel != nil {
-		a.cancel()
+	if a.cancelDial != nil {
+		a.cancelDial()
 	}
-	if a.used != nil {
-		_ = a.used.Close()
+	if a.conn != nil {
+		_ = a.conn.Close()
 	}
 }
 
-// smallRequest is up to which size a request is written before the answer is
-// read; a larger one could meet an answer that comes before it is written.
-const smallRequest = 8 << 10
+// maxInlineWrite is the size up to which a request is written before the reply is read. A
+// larger one may be answered before it is fully written, so it is written concurrently.
+const maxInlineWrite = 8 << 10
 
-// write sends the request and returns a channel that is closed once it is sent
-// whole. What fails here shows when the answer is read.
-func (a *Attempt) write(used *connection) <-chan struct{} {
-	data := a.request.with(a.pool.codec, steadyclock.Until(a.deadline), a.server.ID)
+// write sends the request and returns a channel that is closed once all of it is written.
+// Write errors show when the reply is read.
+func (a *Attempt) write(conn *connection) <-chan struct{} {
+	data := a.request.withAttemptHeaders(a.pool.codec, steadyclock.Until(a.deadline), a.server.ID)
 	written := make(chan struct{})
 	send := func() {
-		if _, err := used.Write(data); err == nil {
+		if _, err := conn.Write(data); err == nil {
 			close(written)
 		}
 	}
-	if len(data) <= smallRequest {
+	if len(data) <= maxInlineWrite {
 		send()
 	} else {
 		go send()
@@ -193,12 +193,12 @@
 	return written
 }
 
-// read reads answers until one is to this request.
-func (a *Attempt) read(used *connection) (outcome scatter.Outcome, reusable bool) {
-	for range maxSurplus + 1 {
-		reply, info, again, err := a.readReply(used)
+// read reads replies until one belongs to this request.
+func (a *Attempt) read(conn *connection) (outcome scatter.Outcome, reusable bool) {
+	for range maxUnexpectedReplies + 1 {
+		reply, info, again, err := a.readReply(conn)
 		if err != nil {
-			return a.broken(err), false
+			return a.sentOutcome(err), false
 		}
 		if info.RequestID != a.request.request.ID {
 			if !again {
@@ -206,23 +206,22 @@
 			}
 			continue
 		}
-		used.keep(steadyclock.Now(), reply.Header)
-		return classify(reply, info), again && used.reader.Buffered() == 0
+		conn.updateIdleTime(steadyclock.Now(), reply.Header)
+		return classify(reply, info), again && conn.reader.Buffered() == 0
 	}
-	return a.broken(errForeign), false
+	return a.sentOutcome(errUnexpectedReply), false
 }
 
 var (
-	errForeign = errors.New("the answer is to another request")
-	errEncoded = errors.New("the answer has a content encoding")
-	errLarge   = errors.New("the answer is too large")
+	errUnexpectedReply = errors.New("the answer is to another request")
+	errContentEncoding = errors.New("the answer has a content encoding")
+	errReplyTooLarge   = errors.New("the answer is too large")
 )
 
-// readReply reads one whole answer; again says whether the connection may carry
-// another one.
-func (a *Attempt) readReply(used *connection) (*message.Reply, ReplyInfo, bool, error) {
+// readReply reads one complete reply; again says whether the connection may carry another one.
+func (a *Attempt) readReply(conn *connection) (*message.Reply, ReplyInfo, bool, error) {
 	method := &http.Request{Method: a.request.request.Method}
-	response, err := readFinal(used.reader, method)
+	response, err := readFinalResponse(conn.reader, method)
 	if err != nil {
 		return nil, ReplyInfo{}, false, err
 	}
@@ -231,7 +230,7 @@
 		return nil, ReplyInfo{}, false, err
 	}
 	if len(response.Header["Content-Encoding"]) > 0 {
-		return nil, ReplyInfo{}, false, errEncoded
+		return nil, ReplyInfo{}, false, errContentEncoding
 	}
 	info := a.pool.codec.Reply(response.StatusCode, response.Header)
 	reply := &message.Reply{Status: response.StatusCode, Header: response.Header, Body: body, Stamp: info.Stamp}
@@ -239,51 +238,51 @@
 	return reply, info, !response.Close && !unframed, nil
 }
 
-// oneBufferBytes bounds the bodies that take one buffer: a length alone, which a faulty
-// server may make up, takes no more memory than that.
-const oneBufferBytes = 64 << 10
+// maxPreallocated bounds the bodies that are read into one buffer of their declared length, so
+// that a false Content-Length from a faulty server can't cause a large allocation.
+const maxPreallocated = 64 << 10
 
-// readBody reads a body whole. A short one whose length is told takes one buffer: growing
-// one took a third of the bytes that a slice of 14 parts allocates.
+// readBody reads a complete body. A short one with a declared length is read into one buffer:
+// a growing buffer took a third of the bytes allocated for a slice of 14 parts.
 func readBody(response *http.Response) ([]byte, error) {
 	if response.Body == http.NoBody {
-		// Also where a length is told, as in the answer to a HEAD request.
+		// A length may be declared even so, as in the reply to a HEAD request.
 		return nil, nil
 	}
-	if length := response.ContentLength; length >= 0 && length <= oneBufferBytes {
+	if length := response.ContentLength; length >= 0 && length <= maxPreallocated {
 		body := make([]byte, length)
 		_, err := io.ReadFull(response.Body, body)
 		if err != nil {
 			return nil, err
 		}
-		// The end of the body is still to be seen, so that the connection can be used again.
+		// The end of the body has to be read, so that the connection can be reused.
 		_, err = response.Body.Read(make([]byte, 1))
 		if !errors.Is(err, io.EOF) {
-			return nil, errForeign
+			return nil, errUnexpectedReply
 		}
 		return body, nil
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes+1))
 	if len(body) > maxReplyBytes {
-		return nil, errLarge
+		return nil, errReplyTooLarge
 	}
 	return body, err
 }
 
-// readFinal passes over informational answers.
-func readFinal(reader *bufio.Reader, request *http.Request) (*http.Response, error) {
+// readFinalResponse skips informational responses.
+func readFinalResponse(reader *bufio.Reader, request *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(reader, request)
 		if err != nil || response.StatusCode >= http.StatusOK {
 			return response, err
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errForeign
+			return nil, errUnexpectedReply
 		}
 	}
 }
 
-// classify turns a whole answer into the outcome.
+// classify returns the outcome for a complete reply.
 func classify(reply *message.Reply, info ReplyInfo) scatter.Outcome {
 	outcome := scatter.Outcome{Reply: reply, Load: info.Load, ColdFor: info.ColdFor, Verdict: verdict.Ran}
 	switch {
@@ -297,9 +296,8 @@
 	return outcome
 }
 
-// broken is the outcome of a request that was sent and not answered: it may have
-// run.
-func (a *Attempt) broken(err error) scatter.Outcome {
+// sentOutcome is the outcome of a request that was sent but not answered: it may have run.
+func (a *Attempt) sentOutcome(err error) scatter.Outcome {
 	failure := scatter.Broken
 	if errors.Is(err, context.DeadlineExceeded) || isTimeout(err) {
 		failure = scatter.TimedOut
--- a/internal/exchange/attempt_bench_test.go
+++ b/internal/exchange/attempt_bench_test.go
@@ -16,9 +16,9 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// BenchmarkAttempt is one attempt over a kept connection, with a part of 1,000
-// bytes: the router's processor time for a shard. The server's side is a fixed
-// answer, whose time is part of the figure.
+// BenchmarkAttempt measures the router's CPU time for a shard: one attempt over a kept
+// connection, with a part of 1,000 bytes. The server sends a fixed reply, whose time is
+// included.
 func BenchmarkAttempt(b *testing.B) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(b, err)
@@ -41,7 +41,7 @@
 	}
 }
 
-// serveFixed answers whatever comes in one piece with the same bytes.
+// serveFixed sends the same reply for whatever arrives in one read.
 func serveFixed(listener net.Listener) {
 	answer := append([]byte("HTTP/1.1 200 OK\r\nX-Id: r-1\r\nX-Stamp: s\r\nContent-Length: 1000\r\n\r\n"), make([]byte, 1000)...)
 	for {
--- a/internal/exchange/codec.go
+++ b/internal/exchange/codec.go
@@ -6,27 +6,25 @@
 	"github.com/martenstage/martenstage/internal/message"
 )
 
-// Codec writes and reads the headers of a deployment's contract with its
-// servers.
+// Codec writes and reads the headers of a deployment's protocol with its servers.
 type Codec interface {
-	// Outgoing adds to the header of an attempt: how long the server may work and
-	// which instance is meant.
+	// Outgoing adds to the header of an attempt how long the server may work and which
+	// instance it is meant for.
 	Outgoing(header message.Header, remaining time.Duration, instance string)
-	// Reply reads what the header of an answer says.
+	// Reply reads the header of a reply.
 	Reply(status int, header message.Header) ReplyInfo
 }
 
-// ReplyInfo is what the header of an answer says beside the answer itself.
+// ReplyInfo is the content of a reply's header.
 type ReplyInfo struct {
-	// RequestID names the request that is answered; empty if it says nothing.
+	// RequestID is the ID of the answered request; empty if there is none.
 	RequestID string
 	Stamp     string
-	// NotExecuted says that the server did not run the request.
+	// NotExecuted says that the server reports not to have run the request.
 	NotExecuted bool
-	// OtherInstance says that another instance than the one meant answered.
+	// OtherInstance says that another instance answered than the intended one.
 	OtherInstance bool
 	Load          message.Load
-	// ColdFor is for how much longer the server says that it is cold; 0 if it says
-	// nothing.
+	// ColdFor is how much longer the server reports to be cold; 0 if it reports nothing.
 	ColdFor time.Duration
 }
--- a/internal/exchange/connection.go
+++ b/internal/exchange/connection.go
@@ -9,65 +9,65 @@
 	"time"
 )
 
-// connection is one connection to one instance. One attempt uses it at a time.
+// connection is a connection to an instance. One attempt uses it at a time.
 type connection struct {
 	net.Conn
-	// raw is that of the connection; nil if it has none.
+	// raw gives access to the file descriptor of the connection; nil if there is none.
 	raw    syscall.RawConn
 	reader *bufio.Reader
-	// idleUntil is when the server may close it; zero if it did not say.
+	// idleUntil is when the server may close it; zero if it announced no time.
 	idleUntil time.Time
-	// proved says that it has carried an answer; read counts the bytes that came.
-	proved bool
-	read   int
-	// idleSince is when the last exchange ended.
+	// hasReplied says that it has carried a reply; bytesRead counts the bytes received.
+	hasReplied bool
+	bytesRead  int
+	// idleSince is when the last attempt on it ended.
 	idleSince time.Time
 }
 
 const readBufferBytes = 4 << 10
 
 func newConnection(dialed net.Conn) *connection {
-	made := &connection{Conn: dialed}
+	wrapped := &connection{Conn: dialed}
 	if raw, ok := dialed.(syscall.Conn); ok {
-		// One that is closed already shows when it is used.
-		made.raw, _ = raw.SyscallConn()
+		// An error here means that the connection is closed, which shows when it is used.
+		wrapped.raw, _ = raw.SyscallConn()
 	}
-	made.reader = bufio.NewReaderSize(made, readBufferBytes)
-	return made
+	wrapped.reader = bufio.NewReaderSize(wrapped, readBufferBytes)
+	return wrapped
 }
 
-// Read counts the bytes that came.
+// Read counts the bytes received.
 func (c *connection) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
-	c.read += count
+	c.bytesRead += count
 	return count, err
 }
 
-// Idle times of connections whose server did not say when it closes them, and
-// what is kept from the time that it did say.
+// Idle time of connections whose server announced none, and the safety margin that is
+// subtracted from an announced one.
 const (
 	defaultIdleTime = 20 * time.Second
 	idleMargin      = 300 * time.Millisecond
 	idleShare       = 0.2
 )
 
-// usable reports whether a kept connection may carry another request: its idle
-// time is not over, and neither an end nor stray bytes wait in it.
+// usable reports whether a kept connection may carry another request: its idle time is not
+// over, and neither EOF nor unexpected bytes are pending on it.
 func (c *connection) usable(now time.Time) bool {
-	return c.current(now) && c.reader.Buffered() == 0 && c.quiet()
+	return c.withinIdleTime(now) && c.reader.Buffered() == 0 && c.isQuiet()
 }
 
-// current reports whether the idle time is not over.
-func (c *connection) current(now time.Time) bool {
+// withinIdleTime reports whether the idle time is not over.
+func (c *connection) withinIdleTime(now time.Time) bool {
 	if c.idleUntil.IsZero() {
 		return now.Sub(c.idleSince) <= defaultIdleTime
 	}
 	return now.Before(c.idleUntil)
 }
 
-// quiet looks, without waiting, whether anything came in since the last answer:
-// the end of the connection or bytes that belong to no request.
-func (c *connection) quiet() bool {
+// isQuiet checks, without blocking, that nothing was received since the last reply: neither
+// EOF nor bytes that belong to no request.
+func (c *connection) isQuiet() bool {
 	if c.raw == nil {
 		return true
 	}
@@ -81,8 +81,8 @@
 	return err == nil && quiet
 }
 
-// keep notes the idle time that an answer promised.
-func (c *connection) keep(now time.Time, header map[string][]string) {
+// updateIdleTime records the idle time that a reply announced.
+func (c *connection) updateIdleTime(now time.Time, header map[string][]string) {
 	c.idleSince, c.idleUntil = now, time.Time{}
 	for _, value := range header["Keep-Alive"] {
 		if idle, ok := keepAliveTimeout(value); ok {
--- a/internal/exchange/doc.go
+++ b/internal/exchange/doc.go
@@ -1,11 +1,10 @@
-// Package exchange sends attempts to servers over HTTP/1.1 connections that it
-// keeps, and reads their answers whole. It decides nothing: the engine (package
+// Package exchange sends attempts to servers over kept HTTP/1.1 connections and
+// reads their complete replies. It makes no routing decisions: the engine (package
 // scatter) bounds how many attempts, and so connections, a server gets.
 //
-// An answer counts only as a whole one to this request: it has to carry the
-// request's id, and anything cut short, encoded, or with bytes behind it is
-// either refused or costs the connection. Nothing is ever sent a second time by
-// this package.
+// Only a complete reply to this request counts: it has to carry the request's ID.
+// One that is truncated or has a content encoding is an error, and unexpected bytes
+// after it cost the connection. This package never sends a request twice.
 //
-// How ids, deadlines, stamps and loads are written is the business of a Codec.
+// How IDs, deadlines, stamps and loads are encoded is up to a Codec.
 package exchange
--- a/internal/exchange/encoded.go
+++ b/internal/exchange/encoded.go
@@ -10,30 +10,30 @@
 	"github.com/martenstage/martenstage/internal/message"
 )
 
-// Encoded is a request in the form of HTTP/1.1, but for what differs between its attempts.
-// It is encoded once for all of them, and never changed.
+// Encoded is a request in HTTP/1.1 encoding, without the headers that differ between its
+// attempts. It is encoded once for all attempts and is immutable.
 type Encoded struct {
 	request *message.Request
-	// head is the request line with the headers that all attempts have in common, tail
-	// what follows the others.
+	// head is the request line and the headers common to all attempts, tail what follows the
+	// attempt's own headers.
 	head []byte
 	tail []byte
 }
 
-// Encode prepares a request for its attempts: one that gathers a shard of a slice writes
-// two headers in place of all.
+// Encode prepares a request for its attempts, so that each attempt at a shard writes two
+// headers instead of all.
 func Encode(codec Codec, request *message.Request) *Encoded {
-	own := make(message.Header)
-	codec.Outgoing(own, 0, "")
+	attemptHeaders := make(message.Header)
+	codec.Outgoing(attemptHeaders, 0, "")
 	common := make(message.Header, len(request.Header))
 	for name, values := range request.Header {
-		if _, differs := own[name]; !differs {
+		if _, differs := attemptHeaders[name]; !differs {
 			common[name] = values
 		}
 	}
 	var head bytes.Buffer
 	head.WriteString(request.Method + " " + request.Target + " HTTP/1.1\r\nHost: " + request.Host + "\r\n")
-	// A buffer takes all that is written.
+	// Writes to a buffer don't fail.
 	_ = http.Header(common).Write(&head)
 	if len(request.Body) > 0 || request.Method != http.MethodGet && request.Method != http.MethodHead {
 		head.WriteString("Content-Length: " + strconv.Itoa(len(request.Body)) + "\r\n")
@@ -41,24 +41,24 @@
 	return &Encoded{request: request, head: head.Bytes(), tail: append([]byte("\r\n"), request.Body...)}
 }
 
-// oneLine keeps a value, which may hold what a server said of itself, from ending its
-// header.
-var oneLine = strings.NewReplacer("\n", " ", "\r", " ")
+// lineBreaks prevents header injection by a value, which may contain data reported by a
+// server.
+var lineBreaks = strings.NewReplacer("\n", " ", "\r", " ")
 
-// ownBytes is about what the headers of one attempt take.
-const ownBytes = 128
+// attemptHeaderBytes is the approximate size of the headers of one attempt.
+const attemptHeaderBytes = 128
 
-// with returns the request for one instance, which may work for what remains.
-func (e *Encoded) with(codec Codec, remaining time.Duration, instance string) []byte {
-	own := make(message.Header, 2)
-	codec.Outgoing(own, remaining, instance)
-	data := make([]byte, 0, len(e.head)+ownBytes+len(e.tail))
+// withAttemptHeaders returns the request for one instance with its remaining time.
+func (e *Encoded) withAttemptHeaders(codec Codec, remaining time.Duration, instance string) []byte {
+	attemptHeaders := make(message.Header, 2)
+	codec.Outgoing(attemptHeaders, remaining, instance)
+	data := make([]byte, 0, len(e.head)+attemptHeaderBytes+len(e.tail))
 	data = append(data, e.head...)
-	for name, values := range own {
+	for name, values := range attemptHeaders {
 		for _, value := range values {
 			data = append(data, name...)
 			data = append(data, ": "...)
-			data = append(data, oneLine.Replace(value)...)
+			data = append(data, lineBreaks.Replace(value)...)
 			data = append(data, "\r\n"...)
 		}
 	}
--- a/internal/exchange/encoded_test.go
+++ b/internal/exchange/encoded_test.go
@@ -13,10 +13,10 @@
 	"github.com/martenstage/martenstage/internal/message"
 )
 
-// ownCodec sets two headers for each attempt.
-type ownCodec struct{ Codec }
+// attemptCodec sets two headers for each attempt.
+type attemptCodec struct{ Codec }
 
-func (ownCodec) Outgoing(header message.Header, remaining time.Duration, instance string) {
+func (attemptCodec) Outgoing(header message.Header, remaining time.Duration, instance string) {
 	header["X-Left"] = []string{remaining.String()}
 	header["X-Meant"] = []string{instance}
 }
@@ -26,9 +26,9 @@
 		Method: http.MethodPost, Target: "/a?b=%20", Host: "site", Body: []byte("the body"),
 		Header: message.Header{"X-Left": {"client's"}, "Accept": {"a", "b"}},
 	}
-	encoded := Encode(ownCodec{}, request)
+	encoded := Encode(attemptCodec{}, request)
 	for _, instance := range []string{"i-1", "i-2", "evil\r\nX-Other: 1"} {
-		read, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(encoded.with(ownCodec{}, time.Second, instance))))
+		read, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(encoded.withAttemptHeaders(attemptCodec{}, time.Second, instance))))
 		require.NoError(t, err)
 		require.Equal(t, "POST", read.Method)
 		require.Equal(t, "/a?b=%20", read.RequestURI)
--- a/internal/exchange/ended_test.go
+++ b/internal/exchange/ended_test.go
@@ -12,9 +12,9 @@
 	"github.com/martenstage/martenstage/internal/scatter"
 )
 
-// TestServerHasEndedOnlyIfNothingListens asks about an address that is served, and again once
+// TestServerHasStoppedOnlyIfNothingListens checks an address while it is served, and again once
 // nothing listens there.
-func TestServerHasEndedOnlyIfNothingListens(t *testing.T) {
+func TestServerHasStoppedOnlyIfNothingListens(t *testing.T) {
 	pool := exchange.NewPool(nil, prometheus.NewRegistry())
 	t.Cleanup(pool.Close)
 	listener, err := net.Listen("tcp4", testaddress.Next().String())
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -21,7 +21,7 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// codec is a contract of the tests' own.
+// codec is the header protocol of these tests.
 type codec struct{}
 
 func (codec) Outgoing(header message.Header, _ time.Duration, instance string) {
@@ -36,12 +36,12 @@
 	}
 }
 
-// backend answers each request on a connection with the next of its scripts.
+// backend handles each request on a connection with its script.
 type backend struct {
 	listener    net.Listener
 	connections atomic.Int64
 	requests    atomic.Int64
-	script      func(number int64, request *http.Request, conn net.Conn) (goOn bool)
+	script      func(number int64, request *http.Request, conn net.Conn) (keepOpen bool)
 }
 
 func startBackend(t *testing.T, script func(int64, *http.Request, net.Conn) bool) *backend {
@@ -97,7 +97,7 @@
 	return pool.Start(pool.Encode(request), server, time.Now().Add(2*time.Second)).Run()
 }
 
-func TestRequestIsPassedOnUnchangedAndTheConnectionKept(t *testing.T) {
+func TestRequestIsForwardedUnchangedAndTheConnectionKept(t *testing.T) {
 	b := startBackend(t, func(_ int64, request *http.Request, conn net.Conn) bool {
 		if request.RequestURI != "/p?q=1" || request.Host != "h" || request.Header.Get("X-Other") != "1" || request.Header.Get("X-Meant") != "instance" {
 			return false
@@ -115,7 +115,7 @@
 	require.EqualValues(t, 1, b.connections.Load())
 }
 
-func TestAnswersThatAreNotWholeNeverCount(t *testing.T) {
+func TestIncompleteRepliesNeverCount(t *testing.T) {
 	for name, answer := range map[string]string{
 		"cut body":         "HTTP/1.1 200 OK\r\nX-Id: r\r\nX-Stamp: s\r\nContent-Length: 9\r\n\r\nshort",
 		"cut header":       "HTTP/1.1 200 OK\r\nX-Id: r\r\n",
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestSurplusAnswerIsNotTakenForTheNextOne(t *testing.T) {
+func TestUnexpectedReplyIsNotTakenForTheNextOne(t *testing.T) {
 	b := startBackend(t, func(number int64, request *http.Request, conn net.Conn) bool {
 		id := fmt.Sprint("r", number)
 		answer := reply(id, "body-"+id)
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestLateSurplusAnswerInPlaceOfTheNextIsPassedOver(t *testing.T) {
+func TestLateReplyToAnEarlierRequestIsSkipped(t *testing.T) {
 	b := startBackend(t, func(number int64, _ *http.Request, conn net.Conn) bool {
 		if number == 2 {
 			_, _ = io.WriteString(conn, reply("r1", "surplus"))
@@ -182,7 +182,7 @@
 	require.EqualValues(t, 2, b.connections.Load())
 }
 
-func TestUnframedAnswerThatIsResetIsNotWhole(t *testing.T) {
+func TestUnframedAnswerThatIsResetIsIncomplete(t *testing.T) {
 	b := startBackend(t, func(_ int64, _ *http.Request, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nX-Id: r\r\nX-Stamp: s\r\nConnection: close\r\n\r\npart of it")
 		time.Sleep(20 * time.Millisecond)
@@ -192,7 +192,7 @@
 	require.Equal(t, scatter.Broken, run(newPool(t), b, "r").Failure)
 }
 
-func TestOnlyTheServersWordProvesThatARequestDidNotRun(t *testing.T) {
+func TestOnlyTheServersReportProvesThatARequestDidNotRun(t *testing.T) {
 	for status, sample := range map[string]struct {
 		failure scatter.Failure
 		known   verdict.Verdict
@@ -212,7 +212,7 @@
 	}
 }
 
-func TestNoConnectionProvesThatNothingRan(t *testing.T) {
+func TestFailedConnectionProvesThatNothingRan(t *testing.T) {
 	b := startBackend(t, func(int64, *http.Request, net.Conn) bool { return false })
 	require.NoError(t, b.listener.Close())
 	outcome := run(newPool(t), b, "r")
@@ -220,7 +220,7 @@
 	require.Equal(t, verdict.NotRun, outcome.Verdict)
 }
 
-func TestResetOfANewConnectionIsToldFromABreak(t *testing.T) {
+func TestResetOfANewConnectionIsDistinguishedFromABreak(t *testing.T) {
 	b := startBackend(t, func(_ int64, _ *http.Request, conn net.Conn) bool {
 		_ = conn.(*net.TCPConn).SetLinger(0)
 		return false
@@ -248,13 +248,13 @@
 	pool := newPool(t)
 	for range 3 {
 		require.Equal(t, scatter.NoFailure, run(pool, b, "r").Failure)
-		// The end of the connection travels by itself.
+		// Wait for the FIN to arrive.
 		time.Sleep(20 * time.Millisecond)
 	}
 	require.EqualValues(t, 3, b.connections.Load())
 }
 
-func TestAnnouncedIdleTimeIsKept(t *testing.T) {
+func TestAnnouncedIdleTimeIsRespected(t *testing.T) {
 	b := startBackend(t, func(_ int64, _ *http.Request, conn net.Conn) bool {
 		answer := strings.Replace(reply("r", "body"), "\r\nX-Id", "\r\nKeep-Alive: timeout=0\r\nX-Id", 1)
 		_, _ = io.WriteString(conn, answer)
@@ -298,7 +298,7 @@
 				return
 			}
 			connections.Add(1)
-			// Answers after the header, and reads on much later.
+			// Replies after the header without reading the body.
 			_, _ = http.ReadRequest(bufio.NewReaderSize(conn, 16))
 			_, _ = io.WriteString(conn, reply("r", "early"))
 		}
@@ -310,10 +310,10 @@
 		outcome := pool.Start(pool.Encode(request), scatter.Server{ID: "i", Address: listener.Addr().String()}, time.Now().Add(5*time.Second)).Run()
 		require.Equal(t, "early", string(outcome.Reply.Body))
 	}
-	require.EqualValues(t, 2, connections.Load(), "the rest of a body met the next request")
+	require.EqualValues(t, 2, connections.Load(), "the rest of a body was followed by the next request")
 }
 
-// TestAnswerToAHeadRequestHasALengthAndNoBody over a connection that is kept.
+// TestAnswerToAHeadRequestHasALengthAndNoBody sends HEAD requests over a kept connection.
 func TestAnswerToAHeadRequestHasALengthAndNoBody(t *testing.T) {
 	b := startBackend(t, func(_ int64, _ *http.Request, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nX-Id: r\r\nX-Stamp: s\r\nContent-Length: 5\r\n\r\n")
@@ -329,8 +329,8 @@
 	require.EqualValues(t, 1, b.connections.Load())
 }
 
-// TestLengthAloneTakesNoMemory has servers promise long bodies and break off.
-func TestLengthAloneTakesNoMemory(t *testing.T) {
+// TestDeclaredLengthAloneAllocatesNoMemory has servers declare long bodies and close the connection early.
+func TestDeclaredLengthAloneAllocatesNoMemory(t *testing.T) {
 	b := startBackend(t, func(_ int64, _ *http.Request, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nX-Id: r\r\nX-Stamp: s\r\nContent-Length: 16000000\r\n\r\nshort")
 		return false
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -17,7 +17,7 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// Pool keeps connections to instances. It is safe for concurrent use.
+// Pool keeps idle connections to instances. It is safe for concurrent use.
 type Pool struct {
 	codec  Codec
 	dial   func(ctx context.Context, address string) (net.Conn, error)
@@ -29,18 +29,18 @@
 	idle  map[string][]*connection
 }
 
-// dialTimeout bounds the wait for a connection: servers are in the same region,
-// and one that takes longer is better left to another server.
+// dialTimeout bounds the time to open a connection: servers are in the same region, and if one
+// takes longer, another server is the better choice.
 const dialTimeout = 250 * time.Millisecond
 
-// serverSilence is how long bytes that were sent to a server may stay unacknowledged by its
-// machine before the connection ends: it has gone silent for good, or lies behind a cut.
-// A server that pauses or works acknowledges.
-const serverSilence = 2 * time.Second
+// maxUnacknowledged is how long bytes sent to a server may stay unacknowledged by its host
+// before the connection ends: the host has failed or is unreachable. The host of a server that
+// is paused or busy still acknowledges.
+const maxUnacknowledged = 2 * time.Second
 
-// NewPool returns a pool without connections.
+// NewPool returns an empty pool.
 func NewPool(codec Codec, registerer prometheus.Registerer) *Pool {
-	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: liveness.Bound(serverSilence)}
+	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: liveness.Bound(maxUnacknowledged)}
 	factory := promauto.With(registerer)
 	return &Pool{
 		codec: codec, idle: make(map[string][]*connection),
@@ -62,7 +62,7 @@
 // Encode prepares a request for its attempts.
 func (p *Pool) Encode(request *message.Request) *Encoded { return Encode(p.codec, request) }
 
-// take returns a kept connection to an instance, the one used last, or nil.
+// take returns a kept connection to an instance, the most recently used one, or nil.
 func (p *Pool) take(instance string) *connection {
 	now := steadyclock.Now()
 	for {
@@ -112,7 +112,7 @@
 	for instance, kept := range p.idle {
 		usable := kept[:0]
 		for _, connection := range kept {
-			if connection.current(now) {
+			if connection.withinIdleTime(now) {
 				usable = append(usable, connection)
 				continue
 			}
@@ -135,11 +135,11 @@
 }
 
 // HasEnded reports whether nothing listens at the address of a server any more: the process
-// that an attempt was sent to has ended, and no other has taken its place yet. A server
-// that can't be reached, or that is silent, is not taken for ended. A connection that comes
-// up proves the opposite and is kept for the next attempt, unless the server just turned
-// one away.
-func (p *Pool) HasEnded(server scatter.Server, turnedAway bool) bool {
+// that an attempt was sent to has stopped, and no other has replaced it yet. A server that is
+// unreachable or does not respond does not count as stopped. A successful connection proves
+// that something listens and is kept for the next attempt, unless the server has just refused
+// one.
+func (p *Pool) HasEnded(server scatter.Server, refused bool) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	dialed, err := p.dial(ctx, server.Address)
@@ -147,12 +147,12 @@
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
 	p.opened.Inc()
-	if turnedAway {
+	if refused {
 		_ = dialed.Close()
 		return false
 	}
 	opened := newConnection(dialed)
-	opened.keep(steadyclock.Now(), nil)
+	opened.updateIdleTime(steadyclock.Now(), nil)
 	p.put(server.ID, opened)
 	return false
 }
--- a/internal/exchange/suspension_test.go
+++ b/internal/exchange/suspension_test.go
@@ -17,34 +17,33 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// TestKeptConnectionIsTooOldAfterASuspension keeps a connection, and has the machine be
-// suspended for longer than servers keep idle ones: the next attempt opens another, and
-// has its whole time.
-func TestKeptConnectionIsTooOldAfterASuspension(t *testing.T) {
+// TestKeptConnectionIsNotReusedAfterASuspension suspends the machine for longer than servers keep
+// idle connections: the next attempt must open another connection and have its full time.
+func TestKeptConnectionIsNotReusedAfterASuspension(t *testing.T) {
 	machine := suspension.NewMachine(t)
 	b := startBackend(t, func(_ int64, _ *http.Request, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, reply("r", "body"))
 		return true
 	})
 	pool := newPool(t)
-	ask := func() {
+	send := func() {
 		request := newRequest("r")
 		server := scatter.Server{ID: "instance", Address: b.listener.Addr().String()}
 		outcome := pool.Start(pool.Encode(request), server, steadyclock.Now().Add(2*time.Second)).Run()
 		require.Equal(t, scatter.NoFailure, outcome.Failure)
 	}
-	ask()
-	ask()
+	send()
+	send()
 	require.EqualValues(t, 1, b.connections.Load())
 	machine.Suspend(time.Minute)
-	ask()
+	send()
 	require.EqualValues(t, 2, b.connections.Load())
 }
 
-// TestRequestIsSentLongAfterItsServerWasChosen guards against a request that reaches a server long
-// after it was chosen, since the process or its machine stood still in between: the server may
-// have left by then.
-func TestRequestIsSentLongAfterItsServerWasChosen(t *testing.T) {
+// TestRequestIsNotSentLongAfterItsServerWasChosen guards against a request that reaches a
+// server long after it was chosen, because the process or its machine was suspended in
+// between: the server may have been removed by then.
+func TestRequestIsNotSentLongAfterItsServerWasChosen(t *testing.T) {
 	machine := suspension.NewMachine(t)
 	b := startBackend(t, func(_ int64, _ *http.Request, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, reply("r", "body"))
@@ -57,7 +56,7 @@
 	}
 	for _, kept := range []bool{false, true} {
 		late := start()
-		machine.Suspend(exchange.SendWithin + time.Millisecond)
+		machine.Suspend(exchange.MaxSendDelay + time.Millisecond)
 		outcome := late.Run()
 		require.Equal(t, scatter.NotSent, outcome.Failure, "connection kept: %v", kept)
 		require.Equal(t, verdict.NotRun, outcome.Verdict)
