--- a/internal/merge/merge.go
+++ b/internal/merge/merge.go
@@ -1,6 +1,6 @@
-// Package merge turns the parts of many shards into the items of one answer.
-// The result depends on the parts and their shard order alone, never on the
-// order in which the parts arrived.
+// Package merge combines the parts of many shards into the items of one answer. The result
+// depends only on the parts and their shard order, not on the order in which the parts
+// arrived.
 package merge
 
 import (
@@ -29,13 +29,13 @@
 	return items
 }
 
-// top keeps the best items. Equal ones stay in shard order, so that the same
-// parts always give the same answer.
+// top keeps the best items. Equal ones stay in shard order, so that the same parts always give
+// the same answer.
 func top(rule plan.Merge, parts [][]json.RawMessage) []json.RawMessage {
 	ranked := make([]rankedItem, 0, total(parts))
 	for _, part := range parts {
 		for _, item := range part {
-			ranked = append(ranked, rankedItem{rank: rankOf(item, rule.Field), item: item})
+			ranked = append(ranked, rankedItem{rank: readRank(item, rule.Field), item: item})
 		}
 	}
 	slices.SortStableFunc(ranked, func(a, b rankedItem) int {
@@ -64,8 +64,8 @@
 	item json.RawMessage
 }
 
-// rankKind orders values of unlike types: numbers before strings, and items
-// without the field last, whatever the direction.
+// rankKind orders values of different types: numbers before strings, and items without the
+// field last, in either direction.
 type rankKind uint8
 
 const (
@@ -94,8 +94,8 @@
 	return order
 }
 
-// rankOf reads one top-level field of a JSON object and skips the rest.
-func rankOf(item json.RawMessage, field string) rank {
+// readRank reads one top-level field of a JSON object and skips the rest.
+func readRank(item json.RawMessage, field string) rank {
 	value := gjson.GetBytes(item, gjson.Escape(field))
 	switch value.Type {
 	case gjson.Number:
--- a/internal/merge/merge_test.go
+++ b/internal/merge/merge_test.go
@@ -37,8 +37,8 @@
 		raw(`{"d":3,"n":"first"}`, `{"n":"second","d":3}`, `{"d":1.5}`), Parts(rule, parts))
 }
 
-// TestRankOfReadsTheNamedFieldAlone compares with a decoder of whole items.
-func TestRankOfReadsTheNamedFieldAlone(t *testing.T) {
+// TestReadRankReadsOnlyTheNamedField compares readRank with decoding the whole item.
+func TestReadRankReadsOnlyTheNamedField(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SampledFrom([]string{"d", "a.b", "*", "e\"f", "#", "x|y", "ü", "@this", "0"})
 		item := map[string]any{}
@@ -60,7 +60,7 @@
 		case string:
 			expected = rank{kind: rankString, text: value}
 		}
-		require.Equal(t, expected, rankOf(encoded, field), string(encoded))
+		require.Equal(t, expected, readRank(encoded, field), string(encoded))
 	})
 }
 
