--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -9,7 +9,7 @@
 	"github.com/martenstage/martenstage/internal/plan"
 )
 
-func TestSpendingNeverExceedsWhatWasEarned(t *testing.T) {
+func TestSpendingNeverExceedsBurstPlusEarnings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := plan.Budget{
 			Ratio: rapid.Float64Range(0, 1).Draw(t, "ratio"),
