--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -1,6 +1,6 @@
-// Package liveness bounds how long a TCP connection may be silent. A connection may stop
-// carrying anything without a reset, while new ones to the same address work: nothing but
-// the time that sent bytes stay unacknowledged shows it.
+// Package liveness bounds how long sent data on a TCP connection may stay unacknowledged. A
+// connection may stop carrying data without a reset while new ones to the same address work;
+// only the time that sent bytes stay unacknowledged reveals it.
 package liveness
 
 import (
@@ -10,10 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bound returns the control function of a net.Dialer that ends a connection with an error
-// once bytes that were sent stayed unacknowledged for a time (TCP_USER_TIMEOUT, RFC 5482),
-// in whole milliseconds. The machine of the other side acknowledges also while its process
-// is busy or stands still. A failure to set it fails the dial.
+// Bound returns a control function for a net.Dialer that makes a connection fail once sent
+// bytes have stayed unacknowledged for the given time, in whole milliseconds
+// (TCP_USER_TIMEOUT, RFC 5482). The peer's host acknowledges even while its process is busy or
+// suspended. If the option can't be set, the dial fails.
 func Bound(silence time.Duration) func(network, address string, conn syscall.RawConn) error {
 	return func(_, _ string, conn syscall.RawConn) error {
 		var failure error
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -11,7 +11,7 @@
 	"github.com/martenstage/martenstage/internal/liveness"
 )
 
-func TestConnectionsOfTheDialerAreBounded(t *testing.T) {
+func TestDialerSetsTheUserTimeout(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { require.NoError(t, listener.Close()) }()
