--- a/internal/slicing/assign.go
+++ b/internal/slicing/assign.go
@@ -9,11 +9,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Assign divides shards of the layout into slices. Those of an unknown place, and those for
-// whose zones no router can be asked, stay with self. Equal layouts give equal
-// slices; what the load goes by, over zones and over the routers of a cell, is the
-// request's id, or, where routers seldom ask each other, the router that asks: its
-// connections are to few others then, and are open when it needs them.
+// Assign divides shards of the layout into slices. Shards without a known zone, and those
+// whose zones have no available router, stay with self. Equal layouts give equal slices. The
+// hash key that spreads load over zones and over the routers of a cell is the request ID;
+// where routers seldom send slices to each other, it is the sending router's name, so that its
+// connections go to few peers and are already open.
 func (l *Layout) Assign(requestID string, shards []string) []Slice {
 	key := requestID
 	if l.sticky {
@@ -26,81 +26,81 @@
 			assigned = append(assigned, Slice{Shards: chosen[zone]})
 			continue
 		}
-		assigned = append(assigned, l.zones[zone].shareOut(l.self, chosen[zone], key)...)
+		assigned = append(assigned, l.zones[zone].assignToCells(l.self, chosen[zone], key)...)
 	}
-	return mergeOwn(assigned)
+	return mergeLocal(assigned)
 }
 
-// chooseZones gives each shard a zone that has both a server of it and a router:
-// the router's own zone, or one of as few others as the shards need.
+// chooseZones gives each shard a zone that has both a server of it and an available router:
+// the local zone, or one of as few other zones as the shards need.
 func (l *Layout) chooseZones(key string, shards []string) map[string][]string {
 	chosen := map[string][]string{}
-	var rest []string
+	var unassigned []string
 	for _, shard := range shards {
-		switch places := l.places[shard]; {
+		switch places := l.reachableZones[shard]; {
 		case len(places) == 0:
 			chosen[""] = append(chosen[""], shard)
 		case slices.Contains(places, l.self.Zone):
 			chosen[l.self.Zone] = append(chosen[l.self.Zone], shard)
 		default:
-			rest = append(rest, shard)
+			unassigned = append(unassigned, shard)
 		}
 	}
-	for len(rest) > 0 {
-		zone := l.pickZone(rest, key)
-		var left []string
-		for _, shard := range rest {
-			if slices.Contains(l.places[shard], zone) {
+	for len(unassigned) > 0 {
+		zone := l.pickZone(unassigned, key)
+		var remaining []string
+		for _, shard := range unassigned {
+			if slices.Contains(l.reachableZones[shard], zone) {
 				chosen[zone] = append(chosen[zone], shard)
 			} else {
-				left = append(left, shard)
+				remaining = append(remaining, shard)
 			}
 		}
-		rest = left
+		unassigned = remaining
 	}
 	return chosen
 }
 
-// pickZone returns the next zone to ask: over many keys each zone comes as
-// often as it has shards, so that the load is even (weighted rendezvous hashing,
+// pickZone returns the next zone to send to. Over many keys each zone is picked in proportion
+// to its number of shards, so that the load is even (weighted rendezvous hashing,
 // Schindelhauer and Schomaker 2005).
 func (l *Layout) pickZone(shards []string, key string) string {
 	count := map[string]int{}
 	for _, shard := range shards {
-		for _, zone := range l.places[shard] {
+		for _, zone := range l.reachableZones[shard] {
 			count[zone]++
 		}
 	}
-	best, least := "", math.Inf(1)
+	best, lowestCost := "", math.Inf(1)
 	for _, zone := range slices.Sorted(maps.Keys(count)) {
 		uniform := (float64(xxhash.Sum64String(key+"/"+zone)>>11) + 1) / (1 << 53)
-		if cost := -math.Log(uniform) / float64(count[zone]); cost < least {
-			best, least = zone, cost
+		if cost := -math.Log(uniform) / float64(count[zone]); cost < lowestCost {
+			best, lowestCost = zone, cost
 		}
 	}
 	return best
 }
 
-// shareOut divides shards among the routers of the zone: each to a router that
-// gathers for the cell that it belongs to, which is self where that is one of them.
-func (z *zoneLayout) shareOut(self Router, shards []string, key string) []Slice {
+// assignToCells divides shards among the routers of the zone. Each shard goes to a router that
+// gathers for the shard's cell, and to self if self is one of them.
+func (z *zoneLayout) assignToCells(self Router, shards []string, key string) []Slice {
 	byCell := make([][]string, len(z.cells))
 	for _, shard := range shards {
-		cell := z.cellOf(shard)
+		cell := z.cellIndex(shard)
 		byCell[cell] = append(byCell[cell], shard)
 	}
 	var assigned []Slice
-	for number, held := range byCell {
-		if len(held) == 0 {
+	for number, cellShards := range byCell {
+		if len(cellShards) == 0 {
 			continue
 		}
-		asked := z.cells[number].asked
-		if containsRouter(asked, self) {
-			assigned = append(assigned, Slice{Shards: held})
+		active := z.cells[number].active
+		if containsRouter(active, self) {
+			assigned = append(assigned, Slice{Shards: cellShards})
 			continue
 		}
-		pick := xxhash.Sum64String(key+"/"+strconv.Itoa(number)) % uint64(len(asked))
-		assigned = append(assigned, Slice{Router: asked[pick], Shards: held})
+		pick := xxhash.Sum64String(key+"/"+strconv.Itoa(number)) % uint64(len(active))
+		assigned = append(assigned, Slice{Router: active[pick], Shards: cellShards})
 	}
 	return assigned
 }
@@ -109,19 +109,19 @@
 	return slices.ContainsFunc(members, func(member Router) bool { return member.Name == wanted.Name })
 }
 
-// mergeOwn joins the slices that stay with the router that was asked.
-func mergeOwn(assigned []Slice) []Slice {
-	var own []string
+// mergeLocal joins the slices that stay with the local router.
+func mergeLocal(assigned []Slice) []Slice {
+	var local []string
 	var others []Slice
 	for _, slice := range assigned {
 		if slice.Router.Name == "" {
-			own = append(own, slice.Shards...)
+			local = append(local, slice.Shards...)
 			continue
 		}
 		others = append(others, slice)
 	}
-	if len(own) == 0 {
+	if len(local) == 0 {
 		return others
 	}
-	return append([]Slice{{Shards: own}}, others...)
+	return append([]Slice{{Shards: local}}, others...)
 }
--- a/internal/slicing/collect.go
+++ b/internal/slicing/collect.go
@@ -2,80 +2,81 @@
 
 import "time"
 
-// Collection counts the parts of an answer that is put together from slices and
-// decides when it is given.
+// Collection counts the parts of an answer that is assembled from slices and decides when to
+// return it.
 type Collection struct {
-	// Total shards; In have a part, Out will have none.
+	// Numbers of shards: all, those with a part received, and those that failed.
 	Total int
 	In    int
 	Out   int
-	// Least is the share of the shards, 0 to 1, that an answer needs.
+	// Least is the minimum coverage: the fraction of the shards, 0 to 1, that an answer needs.
 	Least float64
-	// Cut is when parts that suffice are answered with; zero for never.
+	// Cut is the soft deadline: from then on an answer with sufficient coverage is returned
+	// without waiting for more parts. Zero disables it.
 	Cut time.Time
-	// Deadline is when the answer is given at the latest.
+	// Deadline is when the answer is returned at the latest.
 	Deadline time.Time
-	// Sufficed is when the parts reached the least share; zero if they did not.
-	Sufficed time.Time
+	// SufficientAt is when the parts reached the minimum coverage; zero if they have not.
+	SufficientAt time.Time
 }
 
-// Add takes in a part that came at a time.
+// Add records a part received at a time.
 func (c *Collection) Add(at time.Time) {
 	c.In++
-	if c.Sufficed.IsZero() && c.reaches(c.In) {
-		c.Sufficed = at
+	if c.SufficientAt.IsZero() && c.covers(c.In) {
+		c.SufficientAt = at
 	}
 }
 
-// DueAtCut reports whether the parts sufficed when the cut came, so that whatever
-// passed from then until the answer is a delay of this router's own.
+// DueAtCut reports whether coverage was sufficient at the soft deadline, so that any time from
+// then until the answer is a delay of this router's own.
 func (c *Collection) DueAtCut() bool {
-	return !c.Cut.IsZero() && !c.Sufficed.IsZero() && !c.Sufficed.After(c.Cut)
+	return !c.Cut.IsZero() && !c.SufficientAt.IsZero() && !c.SufficientAt.After(c.Cut)
 }
 
-// Decision says what to do with a collection.
+// Decision is the next step for a collection.
 type Decision uint8
 
-// Decisions.
+// Possible decisions.
 const (
 	Wait Decision = iota
-	// Answer with the parts that are in.
+	// Answer returns the parts received so far.
 	Answer
-	// FailCoverage: the least share can't be reached any more.
+	// FailCoverage means that the minimum coverage can no longer be reached.
 	FailCoverage
-	// FailTimeout: it was not reached in time.
+	// FailTimeout means that the minimum coverage was not reached by the deadline.
 	FailTimeout
 )
 
-// roundingSlack keeps a share that was written with few digits reachable.
+// roundingSlack tolerates rounding errors in a minimum coverage written with few digits.
 const roundingSlack = 1e-9
 
-// Decide returns what to do at a time.
+// Decide returns the decision at a time.
 func (c *Collection) Decide(now time.Time) Decision {
-	open := c.Total - c.In - c.Out
-	suffices := c.In > 0 && c.reaches(c.In)
-	pastCut := !c.Cut.IsZero() && !now.Before(c.Cut)
-	over := !now.Before(c.Deadline)
+	pending := c.Total - c.In - c.Out
+	sufficient := c.In > 0 && c.covers(c.In)
+	pastSoftDeadline := !c.Cut.IsZero() && !now.Before(c.Cut)
+	expired := !now.Before(c.Deadline)
 	switch {
-	case suffices && (open <= 0 || pastCut || over):
+	case sufficient && (pending <= 0 || pastSoftDeadline || expired):
 		return Answer
-	case over:
+	case expired:
 		return FailTimeout
-	case open <= 0 || !c.reaches(c.In+open):
+	case pending <= 0 || !c.covers(c.In+pending):
 		return FailCoverage
 	}
 	return Wait
 }
 
-func (c *Collection) reaches(parts int) bool { return Suffices(parts, c.Total, c.Least) }
+func (c *Collection) covers(parts int) bool { return Suffices(parts, c.Total, c.Least) }
 
-// Suffices reports whether so many parts of a total reach the least share, 0 to 1, that an
-// answer needs.
-func Suffices(parts, total int, least float64) bool {
-	return float64(parts)/float64(total)+roundingSlack >= least
+// Suffices reports whether a number of parts out of a total reaches the minimum coverage, 0 to
+// 1.
+func Suffices(parts, total int, minCoverage float64) bool {
+	return float64(parts)/float64(total)+roundingSlack >= minCoverage
 }
 
-// Next returns when Decide may change without another part.
+// Next returns when Decide may change its result without another part.
 func (c *Collection) Next(now time.Time) time.Time {
 	if !c.Cut.IsZero() && now.Before(c.Cut) && c.Cut.Before(c.Deadline) {
 		return c.Cut
--- a/internal/slicing/layout.go
+++ b/internal/slicing/layout.go
@@ -1,7 +1,7 @@
-// Package slicing divides the shards of one request among routers, so that each
-// part travels within its server's zone and only what was merged crosses zones,
-// and so that few routers hold connections to each server. It also decides when
-// an answer put together from slices is given. It has no I/O and no clock.
+// Package slicing divides the shards of one request among routers, so that server traffic
+// stays within a zone, only merged results cross zones, and few routers hold connections to
+// each server. It also decides when an answer assembled from slices is returned. It does no
+// I/O and reads no clock.
 package slicing
 
 import (
@@ -17,124 +17,123 @@
 type Router struct {
 	Name string
 	Zone string
-	// Address is where other routers reach it.
+	// Address is where other routers connect to it.
 	Address string
-	// Identifies says that it names itself in what it answers.
+	// Identifies says that the router includes its name in its replies.
 	Identifies bool
-	// Absent says that it is not asked now: it stops, is silent or failed. It keeps
-	// its place in its cell, so that others keep theirs.
+	// Absent says that no slices are sent to it now: it is stopping, silent or failed. It
+	// keeps its position in its cell, so that other routers keep theirs.
 	Absent bool
 }
 
 // Slice is the part of a request's shards that one router gathers.
 type Slice struct {
-	// Router gathers it; an empty name is the router that was asked.
+	// Router gathers the slice; an empty name means the local router.
 	Router Router
 	Shards []string
 }
 
-// Sizes of cells. The routers of a zone form cells; a cell gathers some of the shards
-// that have servers in the zone.
+// Sizes of cells. The routers of a zone form cells; each cell gathers some of the shards that
+// have servers in the zone.
 const (
-	// shardsPerCell is how many shards with servers in a zone one cell holds, as far
-	// as there are routers: each router has connections to its own share only.
-	shardsPerCell = 14
-	// leastGathering is how many routers of a cell gather however few calls there
-	// are, so that one that is lost takes only a part of them with it.
-	leastGathering = 2
-	// reserves is how many routers after those have a share of what the servers allow
-	// as well, for when they stand in.
-	reserves = 1
-	// callsPerGatherer is how many calls to servers a second a router of a cell is
-	// given: at 180 microseconds for each (docs/results/0013) a tenth of the smallest
-	// router measured, of 0.19 cores. Fewer routers keep their connections warm and
-	// learn sooner what a server does; a slice is late where its router is busy.
-	callsPerGatherer = 110.0
-	// stickyBelow is how many slices a second one router asks of another, if requests are
-	// spread over all that gather, below which each asks few of them: with fewer, most
-	// slices meet a connection that has yet to be opened, at both ends by routers with
-	// little processor time. Small fleets lie above 1, those of 60 and 300 below 0.2.
-	stickyBelow = 0.5
+	// targetShardsPerCell is how many shards with servers in a zone one cell gathers, if there
+	// are enough routers. Each router has connections to the shards of its cell only.
+	targetShardsPerCell = 14
+	// minGatherers is how many routers of a cell gather regardless of load, so that losing one
+	// affects only a part of the calls.
+	minGatherers = 2
+	// backupGatherers is how many routers after the gatherers also have a share of the
+	// servers' capacity, for when they replace one.
+	backupGatherers = 1
+	// callsPerSecondPerGatherer is the call rate to servers that one gatherer is sized for. At
+	// 180 microseconds per call (docs/results/0013) it uses a tenth of the smallest router
+	// measured, of 0.19 cores. Fewer gatherers keep their connections warm and detect changes
+	// of a server sooner; a slice is late where its router is busy.
+	callsPerSecondPerGatherer = 110.0
+	// stickyBelowSlicesPerPair is the rate of slices a second between a pair of routers, with
+	// requests spread over all gatherers, below which each router sends to few gatherers. At
+	// lower rates most slices would need a new connection, opened at both ends by routers with
+	// little processor time. Small fleets are above 1, fleets of 60 and 300 routers below 0.2.
+	stickyBelowSlicesPerPair = 0.5
 )
 
-// Layout is where the shards of a route can be gathered. But for the router that
-// asks, it is the same at all routers that know the same routers, servers and calls
-// a second. It is not changed once made.
+// Layout is where the shards of a route can be gathered. Except for the local router, it is
+// the same at all routers that know the same routers, servers and call rate. It is immutable.
 type Layout struct {
 	self Router
-	// sticky says that slices go by the router that asks and not by the request.
+	// sticky says that slices are assigned by the sending router and not by the request.
 	sticky bool
 	// zones are those with routers, by name.
 	zones map[string]*zoneLayout
-	// held are the zones of each shard with servers and routers, places those of them
-	// in which a router can be asked now.
-	held   map[string][]string
-	places map[string][]string
+	// shardZones are the zones of each shard that have servers and routers; reachableZones are
+	// those of them that have an available router.
+	shardZones     map[string][]string
+	reachableZones map[string][]string
 }
 
-// zoneLayout is how the routers of a zone share out the shards that have servers in it.
+// zoneLayout is how the routers of a zone divide the shards that have servers in it.
 type zoneLayout struct {
 	routers []Router
-	// present are those that can be asked now.
-	present []Router
-	// held are the shards.
-	held  []string
-	cells []cell
+	// available are the routers that slices can be sent to now.
+	available []Router
+	// shards are the shards with servers in the zone.
+	shards []string
+	cells  []cell
 }
 
-// cell is some routers of a zone, in the order in which they gather.
+// cell is a group of routers of a zone, in the order in which they gather.
 type cell struct {
 	members []Router
-	// gathering is how many of them gather, while none is absent.
-	gathering int
-	// asked are those that gather now: the first ones that are not absent.
-	asked []Router
+	// gatherers is how many of the members gather when all are available.
+	gatherers int
+	// active are the current gatherers: the first members that are available.
+	active []Router
 }
 
-// Site is what a layout is worked out from beside the shards.
+// Site is the input of a layout besides the shards.
 type Site struct {
-	// Zones names the zones in which a shard has servers.
+	// Zones returns the zones in which a shard has servers.
 	Zones func(shard string) []string
-	// Routers may name the router that asks or not.
+	// Routers may include the local router or not.
 	Routers []Router
-	// Calls is how many calls to servers of shards all routers make a second.
+	// Calls is how many calls a second all routers together make to servers of shards.
 	Calls float64
 }
 
-// NewLayout returns the layout of shards as self sees it.
+// NewLayout returns the layout of shards from the point of view of self.
 func NewLayout(self Router, shards []string, site Site) *Layout {
 	self.Absent = false
-	made := &Layout{
-		self: self, zones: zonesOf(self, site.Routers),
-		held: make(map[string][]string, len(shards)), places: make(map[string][]string, len(shards)),
+	layout := &Layout{
+		self: self, zones: groupByZone(self, site.Routers),
+		shardZones: make(map[string][]string, len(shards)), reachableZones: make(map[string][]string, len(shards)),
 	}
-	places := 0
+	shardZonePairs := 0
 	for _, shard := range shards {
-		for _, name := range site.Zones(shard) {
-			zone, ok := made.zones[name]
+		for _, zoneName := range site.Zones(shard) {
+			zone, ok := layout.zones[zoneName]
 			if !ok {
 				continue
 			}
-			places++
-			zone.held = append(zone.held, shard)
-			made.held[shard] = append(made.held[shard], name)
-			if len(zone.present) > 0 {
-				made.places[shard] = append(made.places[shard], name)
+			shardZonePairs++
+			zone.shards = append(zone.shards, shard)
+			layout.shardZones[shard] = append(layout.shardZones[shard], zoneName)
+			if len(zone.available) > 0 {
+				layout.reachableZones[shard] = append(layout.reachableZones[shard], zoneName)
 			}
 		}
 	}
 	routers, gatherers := 0, 0
-	for _, zone := range made.zones {
-		zone.formCells(site.Calls / float64(max(1, places)))
+	for _, zone := range layout.zones {
+		zone.formCells(site.Calls / float64(max(1, shardZonePairs)))
 		routers += len(zone.routers)
-		gatherers += lo.SumBy(zone.cells, func(formed cell) int { return formed.gathering })
+		gatherers += lo.SumBy(zone.cells, func(formed cell) int { return formed.gatherers })
 	}
-	slicesPerPair := site.Calls / shardsPerCell / float64(max(1, routers*gatherers))
-	made.sticky = site.Calls > 0 && slicesPerPair < stickyBelow
-	return made
+	slicesPerPair := site.Calls / targetShardsPerCell / float64(max(1, routers*gatherers))
+	layout.sticky = site.Calls > 0 && slicesPerPair < stickyBelowSlicesPerPair
+	return layout
 }
 
-func zonesOf(self Router, routers []Router) map[string]*zoneLayout {
+func groupByZone(self Router, routers []Router) map[string]*zoneLayout {
 	zones := map[string]*zoneLayout{self.Zone: {routers: []Router{self}}}
 	for _, router := range routers {
 		if router.Name == self.Name {
@@ -147,74 +146,74 @@
 	}
 	for _, zone := range zones {
 		slices.SortFunc(zone.routers, func(a, b Router) int { return cmp.Compare(a.Name, b.Name) })
-		zone.present = present(zone.routers)
+		zone.available = available(zone.routers)
 	}
 	return zones
 }
 
-// formCells divides the routers into cells, given how many calls a second come for
-// each shard in this zone.
+// formCells divides the routers into cells, given the calls a second to each shard in this
+// zone.
 func (z *zoneLayout) formCells(callsPerShard float64) {
-	count := min(len(z.routers), (len(z.held)+shardsPerCell-1)/shardsPerCell)
+	count := min(len(z.routers), (len(z.shards)+targetShardsPerCell-1)/targetShardsPerCell)
 	z.cells = make([]cell, count)
 	for position, router := range z.routers {
 		if count > 0 {
-			in := &z.cells[position%count]
-			in.members = append(in.members, router)
+			current := &z.cells[position%count]
+			current.members = append(current.members, router)
 		}
 	}
 	shards := make([]int, count)
-	for _, shard := range z.held {
-		shards[z.cellOf(shard)]++
+	for _, shard := range z.shards {
+		shards[z.cellIndex(shard)]++
 	}
-	for number := range z.cells {
-		formed := &z.cells[number]
-		needed := int(math.Ceil(callsPerShard * float64(shards[number]) / callsPerGatherer))
-		formed.gathering = min(len(formed.members), max(leastGathering, needed))
-		formed.asked = lo.Slice(present(formed.members), 0, formed.gathering)
-		if len(formed.asked) == 0 {
-			formed.asked = z.present
+	for index := range z.cells {
+		current := &z.cells[index]
+		needed := int(math.Ceil(callsPerShard * float64(shards[index]) / callsPerSecondPerGatherer))
+		current.gatherers = min(len(current.members), max(minGatherers, needed))
+		current.active = lo.Slice(available(current.members), 0, current.gatherers)
+		if len(current.active) == 0 {
+			current.active = z.available
 		}
 	}
 }
 
-// cellOf returns the number of the cell that gathers a shard.
-func (z *zoneLayout) cellOf(shard string) int {
+// cellIndex returns the index of the cell that gathers a shard.
+func (z *zoneLayout) cellIndex(shard string) int {
 	return int(xxhash.Sum64String(shard) % uint64(len(z.cells)))
 }
 
-func present(routers []Router) []Router {
+func available(routers []Router) []Router {
 	return lo.Filter(routers, func(router Router, _ int) bool { return !router.Absent })
 }
 
-// Gatherers are the routers that have a share of what the servers of a shard allow,
-// whoever asks.
+// Gatherers describes the routers that have a share of the capacity of a shard's servers. It
+// is the same from the point of view of every router, except for Self and Rank.
 type Gatherers struct {
 	Count int
-	// Self says that the own router is one of them; Rank is its position among them then,
-	// from 0, by zone and name.
+	// Self says that the local router is one of them; Rank is then its position among them,
+	// from 0, ordered by zone and name.
 	Self bool
 	Rank int
 }
 
 func (l *Layout) isSelf(router Router) bool { return router.Name == l.self.Name }
 
-// Gatherers returns those of each shard whose place is known: the routers that gather
-// and the first ones that stand in for them, also those that are absent now.
+// Gatherers returns, for each shard with a known zone, the routers that gather it and their
+// backups, including those that are unavailable now.
 func (l *Layout) Gatherers() map[string]Gatherers {
-	counted := make(map[string]Gatherers, len(l.held))
-	for shard, names := range l.held {
+	byShard := make(map[string]Gatherers, len(l.shardZones))
+	for shard, names := range l.shardZones {
 		var gatherers Gatherers
 		for _, name := range names {
 			zone := l.zones[name]
-			in := zone.cells[zone.cellOf(shard)]
-			sharing := lo.Slice(in.members, 0, in.gathering+reserves)
+			current := zone.cells[zone.cellIndex(shard)]
+			sharing := lo.Slice(current.members, 0, current.gatherers+backupGatherers)
 			if position := slices.IndexFunc(sharing, l.isSelf); position >= 0 {
 				gatherers.Self, gatherers.Rank = true, gatherers.Count+position
 			}
 			gatherers.Count += len(sharing)
 		}
-		counted[shard] = gatherers
+		byShard[shard] = gatherers
 	}
-	return counted
+	return byShard
 }
--- a/internal/slicing/layout_bench_test.go
+++ b/internal/slicing/layout_bench_test.go
@@ -7,8 +7,9 @@
 	"github.com/martenstage/martenstage/internal/slicing"
 )
 
-// BenchmarkNewLayout works out who gathers 180 shards, with servers in three of six zones
-// each, among 295 routers: each router does so whenever routers, servers or calls change.
+// BenchmarkNewLayout computes the gatherers of 180 shards, each with servers in three of six
+// zones, among 295 routers. Each router does so whenever routers, servers or the call rate
+// change.
 func BenchmarkNewLayout(b *testing.B) {
 	zoneNames := []string{"a", "b", "c", "d", "e", "f"}
 	var routers []slicing.Router
--- a/internal/slicing/slicing_test.go
+++ b/internal/slicing/slicing_test.go
@@ -68,7 +68,7 @@
 	}, assigned)
 }
 
-func TestFewRoutersOfALargeZoneMeetEachShard(t *testing.T) {
+func TestFewRoutersOfALargeZoneGatherEachShard(t *testing.T) {
 	var routers []slicing.Router
 	for number := range 16 {
 		routers = append(routers, slicing.Router{Name: fmt.Sprintf("r%02d", number), Zone: "b"})
@@ -77,27 +77,27 @@
 	for number := range 42 {
 		shards = append(shards, fmt.Sprint("s", number))
 	}
-	met := map[string]map[string]bool{}
+	gatherers := map[string]map[string]bool{}
 	for request := range 500 {
 		self := slicing.Router{Name: "self", Zone: "a"}
 		for _, slice := range slicing.NewLayout(self, shards, slicing.Site{Zones: func(string) []string { return []string{"b"} }, Routers: routers}).Assign(fmt.Sprint(request), shards) {
 			for _, shard := range slice.Shards {
-				if met[shard] == nil {
-					met[shard] = map[string]bool{}
+				if gatherers[shard] == nil {
+					gatherers[shard] = map[string]bool{}
 				}
-				met[shard][slice.Router.Name] = true
+				gatherers[shard][slice.Router.Name] = true
 			}
 		}
 	}
-	for shard, by := range met {
+	for shard, by := range gatherers {
 		require.LessOrEqual(t, len(by), 6, shard)
 	}
 }
 
-// TestAShardIsMetByItsCellsWhoeverAsks holds the connections to a server down: a
-// shard is gathered by the routers of its cell in each of its zones, also for
-// routers of zones without a server of it.
-func TestAShardIsMetByItsCellsWhoeverAsks(t *testing.T) {
+// TestShardIsGatheredOnlyByItsCells guards the limit on connections to a server: only the
+// routers of a shard's cell in each of its zones gather it, also for routers of zones without
+// a server of it.
+func TestShardIsGatheredOnlyByItsCells(t *testing.T) {
 	zoneNames := []string{"a", "b", "c", "d"}
 	var routers []slicing.Router
 	for number := range 64 {
@@ -112,44 +112,44 @@
 	for number := range 90 {
 		shards = append(shards, fmt.Sprint("s", number))
 	}
-	met := map[string]map[string]bool{}
+	gatherers := map[string]map[string]bool{}
 	for request := range 800 {
 		self := routers[request%len(routers)]
 		for _, slice := range slicing.NewLayout(self, shards, slicing.Site{Zones: zones, Routers: routers}).Assign(fmt.Sprint(request), shards) {
 			for _, shard := range slice.Shards {
-				if met[shard] == nil {
-					met[shard] = map[string]bool{}
+				if gatherers[shard] == nil {
+					gatherers[shard] = map[string]bool{}
 				}
 				name := slice.Router.Name
 				if name == "" {
 					name = self.Name
 				}
-				met[shard][name] = true
+				gatherers[shard][name] = true
 			}
 		}
 	}
-	for shard, by := range met {
+	for shard, by := range gatherers {
 		require.LessOrEqual(t, len(by), 3*4, shard)
 	}
 	sharing := map[string]int{}
 	for _, self := range routers {
 		counted := slicing.NewLayout(self, shards, slicing.Site{Zones: zones, Routers: routers}).Gatherers()
-		for shard, by := range met {
-			require.False(t, by[self.Name] && !counted[shard].Self, "%s meets %s without a share", self.Name, shard)
+		for shard, by := range gatherers {
+			require.False(t, by[self.Name] && !counted[shard].Self, "%s gathers %s without a share", self.Name, shard)
 			if counted[shard].Self {
 				sharing[shard]++
 			}
 		}
 	}
 	counted := slicing.NewLayout(routers[0], shards, slicing.Site{Zones: zones, Routers: routers}).Gatherers()
-	for shard := range met {
-		require.Equal(t, counted[shard].Count, sharing[shard], "the shares of all routers add up to the whole")
+	for shard := range gatherers {
+		require.Equal(t, counted[shard].Count, sharing[shard], "the count equals the number of routers with a share")
 	}
 }
 
-// TestFarShardsAreAskedForInFewZones holds messages between zones down, and
-// spreads them evenly.
-func TestFarShardsAreAskedForInFewZones(t *testing.T) {
+// TestRemoteShardsAreGatheredInFewZones keeps the number of messages between zones low and
+// evenly distributed.
+func TestRemoteShardsAreGatheredInFewZones(t *testing.T) {
 	self := slicing.Router{Name: "self", Zone: "a"}
 	routers := []slicing.Router{{Name: "other-b", Zone: "b"}, {Name: "other-c", Zone: "c"}}
 	times := map[string]int{}
@@ -162,10 +162,10 @@
 	require.InDelta(t, 500, times["b"], 75)
 }
 
-// TestRoutersThatAreAwayMoveNoOther has routers away, one after the other, as when
-// all are restarted in turn: of the shards of the one that is away, one other router of
-// its cell takes the part; all others stay where they are, and with them the connections.
-func TestRoutersThatAreAwayMoveNoOther(t *testing.T) {
+// TestUnavailableRouterDoesNotMoveShardsOfOthers makes each router unavailable in turn, as in
+// a rolling restart. One other router of its cell must take over its shards; all other
+// assignments, and with them the connections, must stay.
+func TestUnavailableRouterDoesNotMoveShardsOfOthers(t *testing.T) {
 	shards := namedShards(60)
 	site := slicing.Site{Zones: func(string) []string { return []string{"b"} }}
 	self := slicing.Router{Name: "self", Zone: "a"}
@@ -174,23 +174,23 @@
 		if absent >= 0 {
 			site.Routers[absent].Absent = true
 		}
-		return gatherersMet(slicing.NewLayout(self, shards, site), shards)
+		return observedGatherers(slicing.NewLayout(self, shards, site), shards)
 	}
-	whole := gathered(-1)
+	baseline := gathered(-1)
 	for absent := range 16 {
-		away := fmt.Sprintf("r%02d", absent)
-		standsIn := map[string]bool{}
+		unavailable := fmt.Sprintf("r%02d", absent)
+		replacements := map[string]bool{}
 		for shard, by := range gathered(absent) {
-			require.NotContains(t, by, away)
+			require.NotContains(t, by, unavailable)
 			for name := range by {
-				if whole[shard][name] {
+				if baseline[shard][name] {
 					continue
 				}
-				require.True(t, whole[shard][away], "%s gathers %s only while %s is away, which does not gather it", name, shard, away)
-				standsIn[name] = true
+				require.True(t, baseline[shard][unavailable], "%s gathers %s only while %s is unavailable, which does not gather it", name, shard, unavailable)
+				replacements[name] = true
 			}
 		}
-		require.LessOrEqual(t, len(standsIn), 1, "more than one stands in for %s", away)
+		require.LessOrEqual(t, len(replacements), 1, "more than one router replaces %s", unavailable)
 	}
 }
 
@@ -210,8 +210,8 @@
 	return routers
 }
 
-// gatherersMet returns the routers that gather each shard over many requests.
-func gatherersMet(layout *slicing.Layout, shards []string) map[string]map[string]bool {
+// observedGatherers returns the routers that gather each shard over many requests.
+func observedGatherers(layout *slicing.Layout, shards []string) map[string]map[string]bool {
 	met := map[string]map[string]bool{}
 	for request := range 200 {
 		for _, slice := range layout.Assign(fmt.Sprint(request), shards) {
@@ -226,8 +226,8 @@
 	return met
 }
 
-// TestAsManyRoutersGatherAsTheCallsNeed has few routers meet each shard while there are
-// few calls, never fewer than two while as many live, and more as calls come.
+// TestAsManyRoutersGatherAsTheCallsNeed expects few gatherers for each shard at a low call
+// rate, never fewer than two if as many routers are available, and more as the rate rises.
 func TestAsManyRoutersGatherAsTheCallsNeed(t *testing.T) {
 	shards := namedShards(84)
 	site := slicing.Site{Zones: func(string) []string { return []string{"b"} }, Routers: routersOf("b", 48)}
@@ -237,26 +237,26 @@
 		met := map[string]map[string]bool{}
 		for asker := range 40 {
 			self := slicing.Router{Name: fmt.Sprint("asker", asker), Zone: "a"}
-			for shard, by := range gatherersMet(slicing.NewLayout(self, shards, site), shards) {
+			for shard, by := range observedGatherers(slicing.NewLayout(self, shards, site), shards) {
 				met[shard] = lo.Assign(met[shard], by)
 			}
 		}
 		total := 0
 		for shard, by := range met {
 			require.GreaterOrEqual(t, len(by), 2, shard)
-			require.LessOrEqual(t, len(by), 8, "more than a cell")
+			require.LessOrEqual(t, len(by), 8, "more than the routers of a cell")
 			total += len(by)
 		}
-		require.GreaterOrEqual(t, total, before, "fewer gather at %v calls a second", calls)
+		require.GreaterOrEqual(t, total, before, "fewer gatherers at %v calls a second", calls)
 		before = total
 	}
-	require.Equal(t, 8*len(shards), before, "not all gather though the calls need them")
+	require.Equal(t, 8*len(shards), before, "not all routers gather although the call rate needs them")
 }
 
-// TestRoutersThatSeldomAskAskFewOthers has 300 routers ask for 84 shards: each asks the same
-// few others whatever the request, all that gather are asked about equally, and with more
-// calls each asks all of them.
-func TestRoutersThatSeldomAskAskFewOthers(t *testing.T) {
+// TestRoutersWithLittleTrafficUseFewPeers has 200 routers send slices for 84 shards. At a low
+// call rate each must send to the same few gatherers whatever the request, with the load
+// spread evenly over all gatherers; at a high rate assignments must depend on the request.
+func TestRoutersWithLittleTrafficUseFewPeers(t *testing.T) {
 	shards := namedShards(84)
 	site := slicing.Site{Zones: func(string) []string { return []string{"b", "c"} }, Calls: 1000}
 	for _, zone := range []string{"b", "c"} {
@@ -283,9 +283,9 @@
 	require.NotEqual(t, layout.Assign("first", shards), layout.Assign("second", shards))
 }
 
-// TestGatherersOfAllRoutersAddUp draws sites: whoever works a layout out, a shard has the
-// same number of routers with a share, at least two where there are as many, and exactly
-// those routers count themselves.
+// TestGatherersOfAllRoutersAddUp draws random sites. Every router must compute the same number
+// of gatherers for a shard, at least one where its zones have any, and exactly those routers
+// must count themselves.
 func TestGatherersOfAllRoutersAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zoneNames := []string{"a", "b", "c"}
@@ -327,20 +327,20 @@
 	})
 }
 
-func TestAnswerIsDueAtTheCutIfPartsSufficedBefore(t *testing.T) {
+func TestAnswerIsDueAtTheSoftDeadlineIfCoverageWasReached(t *testing.T) {
 	cut := time.Unix(1000, 0)
 	for name, sample := range map[string]struct {
 		parts []time.Duration
 		want  bool
 	}{
-		"none":               {nil, false},
-		"too few":            {[]time.Duration{-2}, false},
-		"enough before":      {[]time.Duration{-2, -1}, true},
-		"more after":         {[]time.Duration{-2, -1, 1}, true},
-		"enough at the cut":  {[]time.Duration{-2, 0}, true},
-		"enough only later":  {[]time.Duration{-2, 1}, false},
-		"all of them later":  {[]time.Duration{1, 1, 1}, false},
-		"enough and one too": {[]time.Duration{-3, -2, -1}, true},
+		"none":                        {nil, false},
+		"too few":                     {[]time.Duration{-2}, false},
+		"enough before":               {[]time.Duration{-2, -1}, true},
+		"more after":                  {[]time.Duration{-2, -1, 1}, true},
+		"enough at the soft deadline": {[]time.Duration{-2, 0}, true},
+		"enough only later":           {[]time.Duration{-2, 1}, false},
+		"all of them later":           {[]time.Duration{1, 1, 1}, false},
+		"enough and one too":          {[]time.Duration{-3, -2, -1}, true},
 	} {
 		collection := slicing.Collection{Total: 3, Least: 0.6, Cut: cut, Deadline: cut.Add(time.Second)}
 		for _, after := range sample.parts {
@@ -362,18 +362,18 @@
 		at      time.Duration
 		want    slicing.Decision
 	}{
-		"nothing yet":               {0, 0, 0, slicing.Wait},
-		"whole":                     {10, 0, time.Millisecond, slicing.Answer},
-		"whole but for the lost":    {9, 1, time.Millisecond, slicing.Answer},
-		"enough, before the cut":    {9, 0, 99 * time.Millisecond, slicing.Wait},
-		"enough, at the cut":        {9, 0, 100 * time.Millisecond, slicing.Answer},
-		"too few at the cut":        {8, 0, 100 * time.Millisecond, slicing.Wait},
-		"out of reach":              {5, 2, time.Millisecond, slicing.FailCoverage},
-		"too few at the deadline":   {8, 0, time.Second, slicing.FailTimeout},
-		"enough at the deadline":    {9, 0, time.Second, slicing.Answer},
-		"nothing at the deadline":   {0, 0, time.Second, slicing.FailTimeout},
-		"all lost":                  {0, 10, 0, slicing.FailCoverage},
-		"late, the last one it has": {9, 0, 500 * time.Millisecond, slicing.Answer},
+		"nothing yet":                      {0, 0, 0, slicing.Wait},
+		"complete":                         {10, 0, time.Millisecond, slicing.Answer},
+		"complete but for failed":          {9, 1, time.Millisecond, slicing.Answer},
+		"enough, before the soft deadline": {9, 0, 99 * time.Millisecond, slicing.Wait},
+		"enough, at the soft deadline":     {9, 0, 100 * time.Millisecond, slicing.Answer},
+		"too few at the soft deadline":     {8, 0, 100 * time.Millisecond, slicing.Wait},
+		"out of reach":                     {5, 2, time.Millisecond, slicing.FailCoverage},
+		"too few at the deadline":          {8, 0, time.Second, slicing.FailTimeout},
+		"enough at the deadline":           {9, 0, time.Second, slicing.Answer},
+		"nothing at the deadline":          {0, 0, time.Second, slicing.FailTimeout},
+		"all failed":                       {0, 10, 0, slicing.FailCoverage},
+		"enough, after the soft deadline":  {9, 0, 500 * time.Millisecond, slicing.Answer},
 	} {
 		collection := slicing.Collection{Total: 10, In: sample.in, Out: sample.out, Least: 0.9, Cut: cut, Deadline: deadline}
 		require.Equal(t, sample.want, collection.Decide(start.Add(sample.at)), name)
