--- a/internal/registry/cost_test.go
+++ b/internal/registry/cost_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestNewsCostWhatChangedAndNotWhatIsKnown asks for news of tables of all sizes after one
-// server changed: what is looked at does not grow with the table.
-func TestNewsCostWhatChangedAndNotWhatIsKnown(t *testing.T) {
+// TestCostOfChangesIsIndependentOfTableSize changes one server in tables of several sizes and
+// requires that the number of entries visited for the changes does not grow with the table.
+func TestCostOfChangesIsIndependentOfTableSize(t *testing.T) {
 	now := time.Unix(100, 0)
 	for _, servers := range []int{30, 3_000, 30_000} {
 		table := New(5*time.Second, time.Minute)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,10 +1,10 @@
-// Package registry keeps the table of servers that announce themselves by
-// heartbeat. Every directory node holds a table of its own and merges those of
-// the others, so that a server is known everywhere whichever node it called.
+// Package registry keeps the table of servers that register by heartbeat. Every directory node
+// holds its own table and merges those of the other nodes, so that a server is known
+// everywhere whichever node it sent its heartbeat to.
 //
-// The table is soft state: it is rebuilt from heartbeats after a restart. That a
-// server leaves is durable elsewhere (package directory) and only repeated here.
-// A Table belongs to one goroutine or is guarded by its owner; it reads no clock.
+// The table is soft state: it is rebuilt from heartbeats after a restart. The departure of a
+// server is made durable elsewhere (package directory) and only applied here. A Table must be
+// confined to one goroutine or guarded by its owner; it reads no clock.
 package registry
 
 import (
@@ -14,116 +14,118 @@
 	"time"
 )
 
-// State is what a server says of itself.
+// State is the state that a server reports, or that its table derives.
 type State string
 
 // States of an instance.
 const (
 	Ready   State = "ready"
 	Leaving State = "leaving"
-	// Missing is never reported: a table sets it once heartbeats stay away.
+	// Missing is never reported by a server: a table sets it once heartbeats stop.
 	Missing State = "missing"
 )
 
-// Instance is one start of a server. Its id is never used again: where a server keeps its
-// name over starts, LifeID makes one of the name and the time of the start.
+// Instance is one incarnation of a server: the process from one start to its end. Its ID is
+// never reused: for a server that keeps its name across restarts, it combines the name and the
+// start time.
 type Instance struct {
 	ID string `json:"id"`
-	// Born is when the server started, in ms since 1970 by its own clock; 0 if it does not
-	// say.
+	// Start time of the server in ms since 1970 by its own clock; 0 if not reported.
 	Born    int64  `json:"born,omitempty"`
 	Service string `json:"service"`
-	// Address is IP and port. It may be given to another server later.
+	// Address is IP and port. It may be assigned to another server later.
 	Address string `json:"address"`
 	Zone    string `json:"zone,omitempty"`
-	// Version is that of the server's software.
+	// Version is the server's software version.
 	Version string `json:"version,omitempty"`
 	Slots   int    `json:"slots"`
 	State   State  `json:"state"`
-	// Sequence rises with each heartbeat, so that a late one can be told.
+	// Sequence increases with each heartbeat, so that late heartbeats are detected.
 	Sequence uint64 `json:"sequence"`
-	// Since is the index of the first entry of the log that the node which heard of the
-	// instance first had not applied then: a departure of the server from that index on came
-	// later. 0 is of a node that does not tell.
+	// Index of the first log entry that was not yet applied by the node that first heard of
+	// the instance: a departure of the server at that index or above came later. 0 if the node
+	// does not report it.
 	Since uint64 `json:"since,omitempty"`
-	// Restored says that the instance is only known from a table that was kept over a start of
-	// its node: nothing was heard of it since.
+	// Restored says that the instance is only known from a table that its node restored after
+	// a restart, and that no heartbeat was received since.
 	Restored bool `json:"restored,omitempty"`
-	// WarmLeft is for how much longer the server stays slow after its start,
-	// counted from when the entry was handed out.
+	// WarmLeft is for how much longer the server stays slow after its start, counted from when
+	// the entry was returned.
 	WarmLeft time.Duration `json:"warm_left,omitempty"`
-	// Replaced says that another start of the same server has taken its place, or is believed rather
-	// than it: it gets no work.
+	// Replaced says that another incarnation of the same server is considered the active one.
+	// A replaced instance gets no work.
 	Replaced bool `json:"replaced,omitempty"`
-	// Age is how long ago the last heartbeat came, counted likewise.
+	// Age is the time since the last heartbeat, counted likewise.
 	Age time.Duration `json:"age,omitempty"`
 }
 
 // entry is an instance with times of the table's own clock.
 type entry struct {
-	instance Instance
-	heard    time.Time
-	warm     time.Time
-	// former says that the start was in use until another one of its server took its place.
-	former bool
-	// leftInUse says that the start was heard of lately when it left.
-	leftInUse bool
-	// revision at which the entry last changed in a way that routers must know.
+	instance      Instance
+	lastHeartbeat time.Time
+	warmUntil     time.Time
+	// superseded says that the incarnation was active until another one of its server took its
+	// place.
+	superseded bool
+	// recentAtDeparture says that the last heartbeat was recent when the incarnation left.
+	recentAtDeparture bool
+	// revision is the one at which the entry last changed in a way that routers must know.
 	revision uint64
-	// place is that in the table's order of changes.
-	place *list.Element
+	// element is the entry's position in the table's list of changes.
+	element *list.Element
 }
 
 // Table is the set of known instances.
 type Table struct {
 	missingAfter time.Duration
 	forgetAfter  time.Duration
-	leastClaim   time.Duration
+	minClaimTime time.Duration
 	entries      map[string]*entry
 	byAddress    map[string]string
-	// byName are the starts of each server, named how many entries tell a time of start.
-	byName map[string]map[string]*entry
-	named  int
-	// rivals are, by address, instances that go on sending heartbeats although another
-	// one announced itself there since.
-	rivals map[string]rival
-	// changes are the entries, the one that changed last first.
+	// byName holds the incarnations of each server; withStartTime counts the entries that have
+	// a start time.
+	byName        map[string]map[string]*entry
+	withStartTime int
+	// claims are, by address, instances that continue to send heartbeats although another
+	// instance has since taken their place.
+	claims map[string]claim
+	// changes lists the entries, the most recently changed first.
 	changes  *list.List
 	revision uint64
-	// replaced are the replacements that were not taken yet.
-	replaced []Replacement
-	// latest is the time of the last call that told one.
-	latest time.Time
-	// visited counts the entries that Since looked at, for tests.
+	// replacements are those not yet taken.
+	replacements []Replacement
+	// lastCall is the time passed to the last call that took one.
+	lastCall time.Time
+	// visited counts the entries that ChangedSince visited, for tests.
 	visited int
 }
 
-// New returns an empty table. An instance that was not heard of for
-// missingAfter becomes Missing, and is forgotten after forgetAfter.
+// New returns an empty table. An instance without a heartbeat for missingAfter becomes
+// Missing; it is removed after forgetAfter.
 func New(missingAfter, forgetAfter time.Duration) *Table {
 	return &Table{
 		missingAfter: missingAfter, forgetAfter: forgetAfter,
-		entries: make(map[string]*entry), byAddress: make(map[string]string), rivals: make(map[string]rival),
+		entries: make(map[string]*entry), byAddress: make(map[string]string), claims: make(map[string]claim),
 		byName:  make(map[string]map[string]*entry),
 		changes: list.New(),
 	}
 }
 
-// Revision rises with every change that routers must know.
+// Revision increases with every change that routers must know.
 func (t *Table) Revision() uint64 { return t.revision }
 
-// Report takes in a heartbeat, or what another table knows of one, that is
-// instance.Age old. It reports whether routers must know of it. A heartbeat with
-// a lower sequence than the last one is ignored; leaving is never taken back.
+// Report records a heartbeat, or another table's entry for one, received instance.Age ago. It
+// reports whether routers must know of the change. A heartbeat with a lower sequence than the
+// last one is ignored; Leaving is final.
 func (t *Table) Report(now time.Time, instance Instance) bool {
-	t.latest = now
-	heard := now.Add(-instance.Age)
+	t.lastCall = now
+	heartbeatAt := now.Add(-instance.Age)
 	known, exists := t.entries[instance.ID]
 	if !exists {
 		if instance.Age > t.missingAfter {
 			return false
 		}
-		t.add(heard, now, instance)
+		t.add(heartbeatAt, now, instance)
 		return true
 	}
 	known.instance.Restored = known.instance.Restored && instance.Restored
@@ -133,21 +135,21 @@
 	if instance.Sequence < known.instance.Sequence {
 		return false
 	}
-	if heard.After(known.heard) {
-		known.heard = heard
+	if heartbeatAt.After(known.lastHeartbeat) {
+		known.lastHeartbeat = heartbeatAt
 	}
-	owned := t.owns(now, known, instance.Sequence)
+	owned := t.acceptHeartbeat(now, known, instance.Sequence)
 	before := known.instance
 	known.instance.Sequence = instance.Sequence
-	turnedCold := instance.WarmLeft > 0 && !now.Before(known.warm)
-	known.warm = now.Add(instance.WarmLeft)
+	turnedCold := instance.WarmLeft > 0 && !now.Before(known.warmUntil)
+	known.warmUntil = now.Add(instance.WarmLeft)
 	if before.State != Leaving && instance.State != Missing && (owned || instance.State == Leaving) {
-		known.leftInUse = instance.State == Leaving
+		known.recentAtDeparture = instance.State == Leaving
 		known.instance.State = instance.State
 	}
 	if instance.State == Leaving {
 		known.instance.Replaced = false
-		t.endClaims(known)
+		t.resetClaims(known)
 	}
 	known.instance.Slots = instance.Slots
 	if before.State == known.instance.State && before.Slots == known.instance.Slots && !turnedCold {
@@ -157,16 +159,16 @@
 	return true
 }
 
-// Refresh takes in a heartbeat of a known instance that brings nothing new. It
-// reports whether routers must know of it: the instance was missing.
+// Refresh records a heartbeat of a known instance without changes. It reports whether routers
+// must know of it because the instance was missing.
 func (t *Table) Refresh(now time.Time, id string, sequence uint64) bool {
-	t.latest = now
+	t.lastCall = now
 	known, exists := t.entries[id]
 	if !exists || sequence < known.instance.Sequence {
 		return false
 	}
-	owned := t.owns(now, known, sequence)
-	known.instance.Sequence, known.heard, known.instance.Restored = sequence, now, false
+	owned := t.acceptHeartbeat(now, known, sequence)
+	known.instance.Sequence, known.lastHeartbeat, known.instance.Restored = sequence, now, false
 	if known.instance.State != Missing || !owned {
 		return false
 	}
@@ -181,78 +183,80 @@
 	return exists
 }
 
-func (t *Table) add(heard, now time.Time, instance Instance) {
-	added := &entry{instance: instance, heard: heard, warm: now.Add(instance.WarmLeft), leftInUse: instance.State == Leaving}
+func (t *Table) add(heartbeatAt, now time.Time, instance Instance) {
+	added := &entry{instance: instance, lastHeartbeat: heartbeatAt, warmUntil: now.Add(instance.WarmLeft), recentAtDeparture: instance.State == Leaving}
 	t.entries[instance.ID] = added
-	t.addStart(added)
-	t.succeed(added)
-	t.enterAddress(added)
+	t.addIncarnation(added)
+	t.resolveNew(added)
+	t.assignAddress(added)
 	t.touch(added)
 }
 
-// enterAddress makes a new entry the owner of its address, unless one that goes before it is there.
-func (t *Table) enterAddress(added *entry) {
+// assignAddress makes a new entry the owner of its address unless the present owner takes
+// precedence.
+func (t *Table) assignAddress(added *entry) {
 	address := added.instance.Address
 	owner := t.entries[t.byAddress[address]]
 	switch {
 	case added.instance.Replaced:
-		t.rivals[address] = rival{id: added.instance.ID, since: added.heard}
+		t.claims[address] = claim{id: added.instance.ID, since: added.lastHeartbeat}
 		return
-	case owner != nil && owner.instance.State != Leaving && !owner.instance.Replaced && owner.later(added.instance):
+	case owner != nil && owner.instance.State != Leaving && !owner.instance.Replaced && owner.startedAfter(added.instance):
 		if added.instance.State == Ready {
 			added.instance.State = Missing
 		}
 		return
 	case owner != nil:
-		t.replaceAt(owner.instance.ID, added.instance.ID)
+		t.replaceOwner(owner.instance.ID, added.instance.ID)
 	}
 	t.byAddress[address] = added.instance.ID
 }
 
-// replaceAt marks the former owner of an address: whoever listens there now is
-// another instance.
-func (t *Table) replaceAt(id, by string) {
-	if former, ok := t.entries[id]; ok && former.instance.State == Ready {
-		former.instance.State = Missing
-		t.touch(former)
-		t.noteReplaced(former, by)
+// replaceOwner marks the previous owner of an address as missing: another instance listens
+// there now.
+func (t *Table) replaceOwner(id, by string) {
+	if previous, ok := t.entries[id]; ok && previous.instance.State == Ready {
+		previous.instance.State = Missing
+		t.touch(previous)
+		t.recordReplacement(previous, by)
 	}
 }
 
-// Replacement says that an instance was taken for gone because another one announced itself.
+// Replacement records that an instance was considered ended because another one registered.
 type Replacement struct{ ID, By, Address string }
 
-// maxReplacements bounds the replacements that are kept until they are taken.
+// maxReplacements bounds the replacements kept until they are taken.
 const maxReplacements = 64
 
-func (t *Table) noteReplaced(former *entry, by string) {
-	if len(t.replaced) < maxReplacements {
-		t.replaced = append(t.replaced, Replacement{ID: former.instance.ID, By: by, Address: former.instance.Address})
+func (t *Table) recordReplacement(previous *entry, by string) {
+	if len(t.replacements) < maxReplacements {
+		t.replacements = append(t.replacements, Replacement{ID: previous.instance.ID, By: by, Address: previous.instance.Address})
 	}
 }
 
-// TakeReplaced returns the replacements since the last call, the first ones if there were many.
+// TakeReplaced returns and clears the replacements recorded since the last call. If there were
+// more than the limit, the later ones are lost.
 func (t *Table) TakeReplaced() []Replacement {
-	taken := t.replaced
-	t.replaced = nil
+	taken := t.replacements
+	t.replacements = nil
 	return taken
 }
 
-// Leave marks an instance as leaving. One that is not known yet is left to the caller, who has
-// to check each report against the departures that it knows of.
+// Leave marks an instance as leaving. If the instance is not known yet, nothing is kept: the
+// caller has to check each later report against the departures that it knows.
 func (t *Table) Leave(id string) bool {
 	known, exists := t.entries[id]
 	if !exists || known.instance.State == Leaving {
 		return false
 	}
-	known.leftInUse = t.latest.Sub(known.heard) <= t.missingAfter
+	known.recentAtDeparture = t.lastCall.Sub(known.lastHeartbeat) <= t.missingAfter
 	known.instance.State, known.instance.Replaced = Leaving, false
 	t.touch(known)
 	return true
 }
 
-// LeaveOthers marks all instances of a service as leaving that are of another version than
-// one: a roll-out has replaced them. It reports how many it marked.
+// LeaveOthers marks all instances of a service with another version than the given one as
+// leaving, after a rollout replaced them. It returns how many it marked.
 func (t *Table) LeaveOthers(service, version string) (marked int) {
 	for _, known := range t.entries {
 		if known.instance.Service == service && known.instance.Version != version && known.instance.State != Leaving {
@@ -264,21 +268,21 @@
 	return marked
 }
 
-// Expire marks instances that were not heard of as missing and forgets those
-// that were missing for long. It reports whether anything changed.
+// Expire marks instances without recent heartbeats as missing and removes those that have been
+// silent for forgetAfter. It reports whether any instance became missing.
 func (t *Table) Expire(now time.Time) bool {
-	t.latest = now
+	t.lastCall = now
 	before := t.revision
 	for id, known := range t.entries {
-		silent := now.Sub(known.heard)
+		silent := now.Sub(known.lastHeartbeat)
 		switch {
 		case silent > t.forgetAfter:
 			delete(t.entries, id)
-			t.removeStart(known)
-			t.changes.Remove(known.place)
+			t.removeIncarnation(known)
+			t.changes.Remove(known.element)
 			if t.byAddress[known.instance.Address] == id {
 				delete(t.byAddress, known.instance.Address)
-				delete(t.rivals, known.instance.Address)
+				delete(t.claims, known.instance.Address)
 			}
 		case silent > t.missingAfter && known.instance.State == Ready:
 			known.instance.State = Missing
@@ -288,8 +292,8 @@
 	return t.revision != before
 }
 
-// Since returns the instances that changed after a revision, ordered by id; 0
-// gives all.
+// Since returns the instances that changed after a revision, ordered by ID; revision 0 returns
+// all.
 func (t *Table) Since(now time.Time, revision uint64) []Instance {
 	var changed []Instance
 	for place := t.changes.Front(); place != nil; place = place.Next() {
@@ -313,8 +317,8 @@
 	return known.at(now), true
 }
 
-// Count returns how many instances are in a state. Those that other starts of their servers have
-// replaced are in none.
+// Count returns how many instances are in a state, without those that were replaced by another
+// incarnation of their server.
 func (t *Table) Count(state State) int {
 	count := 0
 	for _, known := range t.entries {
@@ -325,7 +329,8 @@
 	return count
 }
 
-// CountReplaced returns how many instances other starts of their servers have replaced.
+// CountReplaced returns how many instances were replaced by another incarnation of their
+// server.
 func (t *Table) CountReplaced() int {
 	count := 0
 	for _, known := range t.entries {
@@ -338,17 +343,17 @@
 
 func (e *entry) at(now time.Time) Instance {
 	instance := e.instance
-	instance.Age = max(0, now.Sub(e.heard))
-	instance.WarmLeft = max(0, e.warm.Sub(now))
+	instance.Age = max(0, now.Sub(e.lastHeartbeat))
+	instance.WarmLeft = max(0, e.warmUntil.Sub(now))
 	return instance
 }
 
 func (t *Table) touch(changed *entry) {
 	t.revision++
 	changed.revision = t.revision
-	if changed.place == nil {
-		changed.place = t.changes.PushFront(changed)
+	if changed.element == nil {
+		changed.element = t.changes.PushFront(changed)
 		return
 	}
-	t.changes.MoveToFront(changed.place)
+	t.changes.MoveToFront(changed.element)
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -25,12 +25,12 @@
 	return ""
 }
 
-// TestReplacementsAreTold guards against a replacement of which the log says nothing.
-func TestReplacementsAreTold(t *testing.T) {
+// TestReplacementsAreReported guards against a replacement that is missing in the log.
+func TestReplacementsAreReported(t *testing.T) {
 	now := time.Unix(100, 0)
 	table := registry.New(5*time.Second, time.Minute)
-	for born := range int64(2) {
-		table.Report(now, registry.Instance{ID: registry.LifeID("i", born+1), Born: born + 1, Address: "10.0.0.1:1", State: registry.Ready})
+	for startedAt := range int64(2) {
+		table.Report(now, registry.Instance{ID: registry.LifeID("i", startedAt+1), Born: startedAt + 1, Address: "10.0.0.1:1", State: registry.Ready})
 	}
 	require.Equal(t, []registry.Replacement{{ID: "i#1", By: "i#2", Address: "10.0.0.1:1"}}, table.TakeReplaced())
 	require.Empty(t, table.TakeReplaced())
@@ -73,13 +73,13 @@
 	require.False(t, table.Refresh(start.Add(4*time.Second), "a", 2))
 	require.False(t, table.Expire(start.Add(8*time.Second)))
 	require.True(t, table.Expire(start.Add(10*time.Second)))
-	require.False(t, table.Refresh(start.Add(10*time.Second), "a", 1), "a late heartbeat brings it back")
+	require.False(t, table.Refresh(start.Add(10*time.Second), "a", 1), "a late heartbeat must not bring it back")
 	require.True(t, table.Refresh(start.Add(10*time.Second), "a", 3))
 	require.Equal(t, registry.Ready, stateOf(table, start, "a"))
 	require.False(t, table.Refresh(start, "unknown", 1))
 }
 
-func TestTablesAgreeInWhateverOrderTheyAreTold(t *testing.T) {
+func TestTablesConvergeInAnyReportOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 12).Draw(t, "count")
 		var reports []registry.Instance
@@ -94,8 +94,8 @@
 		for _, report := range reports {
 			inOrder.Report(start, report)
 		}
-		// What one node heard goes on to others, in any order, and each repeats
-		// the newest at the end.
+		// Entries that one node received are forwarded to others in any order, and each
+		// repeats the newest one at the end.
 		for _, report := range rapid.Permutation(reports).Draw(t, "order") {
 			shuffled.Report(start, report)
 		}
@@ -106,7 +106,7 @@
 	})
 }
 
-func TestServerThatTurnsColdIsTold(t *testing.T) {
+func TestServerThatTurnsColdIsReported(t *testing.T) {
 	table := registry.New(4*time.Second, time.Minute)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	report := func(sequence uint64, left time.Duration) bool {
@@ -115,13 +115,13 @@
 	}
 	require.True(t, report(1, 0))
 	require.False(t, report(2, 0))
-	require.True(t, report(3, 3*time.Second), "it turned cold")
-	require.False(t, report(4, 2*time.Second), "its end is known")
+	require.True(t, report(3, 3*time.Second), "the server turned cold")
+	require.False(t, report(4, 2*time.Second), "the end of the warm-up is known")
 	require.Equal(t, 2*time.Second, table.Since(now, 0)[0].WarmLeft)
 }
 
-// TestHeartbeatThatComesLateDoesNotBringItsSenderBack has a heartbeat arrive after another
-// instance has announced itself at the same address.
+// TestHeartbeatThatComesLateDoesNotBringItsSenderBack delivers a heartbeat after another
+// instance has registered at the same address.
 func TestHeartbeatThatComesLateDoesNotBringItsSenderBack(t *testing.T) {
 	table := registry.New(4*time.Second, time.Minute)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -141,13 +141,14 @@
 	beat("new", 1)
 	require.Equal(t, registry.Missing, state("old"))
 	beat("old", 8)
-	require.Equal(t, registry.Missing, state("old"), "its heartbeat came late")
+	require.Equal(t, registry.Missing, state("old"), "its heartbeat was late")
 	require.Equal(t, registry.Ready, state("new"))
 	beat("new", 2)
 	table.Refresh(now, "old", 9)
 	require.Equal(t, registry.Missing, state("old"))
 
-	// A node that has just started hears the late one last: the other one goes on.
+	// A node that has just started receives the late heartbeat last. The other instance
+	// continues to send and wins.
 	beat("late", 30)
 	require.Equal(t, registry.Missing, state("new"))
 	beat("new", 3)
--- a/internal/registry/succession.go
+++ b/internal/registry/succession.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// A server that keeps its name has one process at a time. Of its starts at one address, one is in use; the
-// others are replaced and get no work, since the process that answers for them is that of the start in
-// use.
+// A server that keeps its name has one process at a time. Of its incarnations at one address,
+// one is active; the others are replaced and get no work, since the process that would reply
+// for them is that of the active one.
 //
-// Which start is in use follows from the order in which they were heard of and from the times of start
-// that they name. Where both agree, the later one is in use at once. Where they don't, a clock was set back
-// or a heartbeat is late: at one address the known start stays in use until it is silent and the other one
-// goes on sending heartbeats. Of what another node tells, only what was heard of after the known start
-// counts as later.
-
-// succeed settles which start of a server is in use, when one of them is heard of for the first time.
-func (t *Table) succeed(added *entry) {
-	t.endClaims(added)
+// The active incarnation follows from the order in which they were first heard of and from
+// their start times. Where both agree, the later incarnation becomes active at once. Where
+// they disagree, a clock was set back or a heartbeat is late: at one address the known
+// incarnation stays active until its heartbeats stop and the other one continues to send. Of
+// the entries of another node's table, only those with a heartbeat after that of the known
+// incarnation count as later.
+
+// resolveNew determines the active incarnation of a server when a new one is added.
+func (t *Table) resolveNew(added *entry) {
+	t.resetClaims(added)
 	if added.instance.Replaced && added.instance.State != Leaving {
 		added.instance.State = Missing
 		return
@@ -22,108 +23,115 @@
 	added.instance.Replaced = false
 	for _, known := range t.byName[NameOf(added.instance.ID)] {
 		switch {
-		case known == added || known.former:
-		case added.instance.Born > known.instance.Born && added.heardLater(known):
+		case known == added || known.superseded:
+		case added.instance.Born > known.instance.Born && added.receivedAfter(known):
 			t.supersede(known, added)
 		case added.instance.Address == known.instance.Address:
-			t.setAside(added)
+			t.deactivate(added)
 		}
 	}
 }
 
-// heardLater reports whether an entry that is added was heard of after one that is known. Of one that
-// was restored from a file, that is not known.
-func (e *entry) heardLater(known *entry) bool {
-	return !e.instance.Restored && (known.instance.Restored || !e.heard.Before(known.heard))
+// receivedAfter reports whether a new entry was received after a known one. For an entry
+// restored from a file the order is unknown.
+func (e *entry) receivedAfter(known *entry) bool {
+	return !e.instance.Restored && (known.instance.Restored || !e.lastHeartbeat.Before(known.lastHeartbeat))
 }
 
-// supersede takes a start out of use: another one of its server has taken its place, and only its own
-// heartbeats bring it back. One that has left was in use until then, whatever is heard of after it.
+// supersede deactivates an incarnation because another one of its server has taken its place;
+// only its own heartbeats reactivate it. An incarnation that has left was the active one until
+// then, whatever is received after it.
 func (t *Table) supersede(known, by *entry) {
 	if known.instance.State == Leaving {
 		return
 	}
-	known.former = true
+	known.superseded = true
 	if known.instance.Replaced {
 		return
 	}
-	t.setAside(known)
-	t.noteReplaced(known, by.instance.ID)
+	t.deactivate(known)
+	t.recordReplacement(known, by.instance.ID)
 }
 
-// setAside takes a start out of use until it is the one that goes on sending heartbeats.
-func (t *Table) setAside(known *entry) {
+// deactivate stops use of an incarnation until it is the one that continues to send
+// heartbeats.
+func (t *Table) deactivate(known *entry) {
 	if known.instance.State == Leaving {
 		return
 	}
 	known.instance.State, known.instance.Replaced = Missing, true
-	delete(t.rivals, known.instance.Address)
+	delete(t.claims, known.instance.Address)
 	t.touch(known)
 }
 
-// rivalBeats is how many heartbeats in a row an instance has to send to be believed where another one
-// is: one may have been held up by a cut until its sender had ended and a new instance was there.
+// claimHeartbeats is how many heartbeats in a row an instance has to send to take the place of
+// another one: a single one may have been delayed by a network partition until its sender had
+// ended and a new instance had started.
 //
-// A start that is replaced has to send them over claimShare of the time after which an instance counts
-// as missing. Several may have been held up and come at once; the start in use is heard of in between.
-// Where another server has the address, what is meant for one that is gone is answered 421.
+// A replaced incarnation has to send them over claimShare of the time after which an instance
+// counts as missing. Several heartbeats may have been delayed and arrive at once; a heartbeat
+// of the active incarnation arrives in between. If another server has the address, calls meant
+// for the ended one are answered with 421.
 const (
-	rivalBeats = 2
-	claimShare = 0.5
+	claimHeartbeats = 2
+	claimShare      = 0.5
 )
 
-// rival is an instance with the heartbeats that it sent since the one in its place sent the last one, and
-// when the first of them came.
-type rival struct {
-	id    string
-	beats int
-	since time.Time
+// claim counts the heartbeats that an instance sent since the last one of the instance in its
+// place, and records when the first of them arrived.
+type claim struct {
+	id         string
+	heartbeats int
+	since      time.Time
 }
 
-// owns takes in a heartbeat of a known instance and reports whether it is the one in use, of its
-// server and at its address. What other nodes tell of the same heartbeat counts once.
-func (t *Table) owns(now time.Time, known *entry, sequence uint64) bool {
+// acceptHeartbeat records a heartbeat of a known instance and reports whether it is the active
+// incarnation of its server and owns its address. Copies of the same heartbeat from other
+// nodes count once.
+func (t *Table) acceptHeartbeat(now time.Time, known *entry, sequence uint64) bool {
 	if sequence > known.instance.Sequence && known.instance.State != Leaving {
-		t.endClaims(known)
+		t.resetClaims(known)
 	}
-	before := t.ahead(known)
-	if before == nil && !known.instance.Replaced {
-		t.hold(known)
+	incumbent := t.incumbent(known)
+	if incumbent == nil && !known.instance.Replaced {
+		t.holdAddress(known)
 		return true
 	}
 	if known.instance.State == Leaving {
 		return false
 	}
-	claiming := t.rivals[known.instance.Address]
-	if claiming.id != known.instance.ID {
-		claiming = rival{id: known.instance.ID, since: now}
+	currentClaim := t.claims[known.instance.Address]
+	if currentClaim.id != known.instance.ID {
+		currentClaim = claim{id: known.instance.ID, since: now}
 	}
 	if sequence > known.instance.Sequence {
-		claiming.beats++
+		currentClaim.heartbeats++
 	}
-	t.rivals[known.instance.Address] = claiming
-	if before != nil && before.precedes(known.instance) {
+	t.claims[known.instance.Address] = currentClaim
+	if incumbent != nil && incumbent.outranks(known.instance) {
 		return false // It is a late one of an earlier start.
 	}
-	if claiming.beats < rivalBeats || known.instance.Replaced && now.Sub(claiming.since) < t.claimTime() {
+	if currentClaim.heartbeats < claimHeartbeats || known.instance.Replaced && now.Sub(currentClaim.since) < t.claimTime() {
 		return false
 	}
-	t.takeOver(known, before)
+	t.takeOver(known, incumbent)
 	return true
 }
 
-// claimTime is over which time a start that is replaced has to send heartbeats to be believed.
+// claimTime is the time over which a replaced incarnation has to send heartbeats to become
+// active.
 func (t *Table) claimTime() time.Duration {
-	return max(t.leastClaim, time.Duration(claimShare*float64(t.missingAfter)))
+	return max(t.minClaimTime, time.Duration(claimShare*float64(t.missingAfter)))
 }
 
-// ClaimAtLeast sets a lower bound of the time over which a start that is replaced has to send heartbeats to
-// be believed: longer than heartbeats that came to several nodes at once take to be told from one to another.
-func (t *Table) ClaimAtLeast(least time.Duration) { t.leastClaim = least }
+// ClaimAtLeast sets a lower bound for the time over which a replaced incarnation has to send
+// heartbeats to become active. It must exceed the time that nodes take to forward heartbeats
+// that arrived at several of them at once.
+func (t *Table) ClaimAtLeast(minimum time.Duration) { t.minClaimTime = minimum }
 
-// ahead returns the instance that is believed rather than one: the start in use of its server, or
-// the owner of its address; nil for none.
-func (t *Table) ahead(known *entry) *entry {
+// incumbent returns the instance that takes precedence over a known one: the active
+// incarnation of its server, or the owner of its address; nil if there is none.
+func (t *Table) incumbent(known *entry) *entry {
 	if known.instance.Replaced {
 		if current := t.current(NameOf(known.instance.ID)); current != nil {
 			return current
@@ -136,8 +144,9 @@
 	return owner
 }
 
-// current returns the start of a server that is in use: of several, one that is heard of before one
-// that is silent or left, and the one that claims to be the latest; nil for none.
+// current returns the active incarnation of a server. Of several, one that is ready goes
+// before one that is missing or left, then the one with the latest start time; nil if there is
+// none.
 func (t *Table) current(name string) (found *entry) {
 	for _, known := range t.byName[name] {
 		switch ready := known.instance.State == Ready; {
@@ -151,39 +160,39 @@
 	return found
 }
 
-// hold has an instance in use keep its address, and ends the claim of another server to it. An
-// instance that left ends none: heartbeats of it that say ready are late.
-func (t *Table) hold(known *entry) {
+// holdAddress keeps an active instance as the owner of its address and ends another server's
+// claim to it. An instance that left ends no claim: its heartbeats that say ready are late.
+func (t *Table) holdAddress(known *entry) {
 	t.byAddress[known.instance.Address] = known.instance.ID
 	if known.instance.State != Leaving {
-		delete(t.rivals, known.instance.Address)
+		delete(t.claims, known.instance.Address)
 	}
 }
 
-// endClaims has the other starts of an instance's server that claim its place begin anew: it was
-// heard of.
-func (t *Table) endClaims(known *entry) {
+// resetClaims restarts the claims of the other incarnations of an instance's server, because a
+// heartbeat of the instance was received.
+func (t *Table) resetClaims(known *entry) {
 	for id, other := range t.byName[NameOf(known.instance.ID)] {
-		if address := other.instance.Address; other != known && t.rivals[address].id == id {
-			delete(t.rivals, address)
+		if address := other.instance.Address; other != known && t.claims[address].id == id {
+			delete(t.claims, address)
 		}
 	}
 }
 
-// takeOver puts an instance in the place of the one that was believed.
-func (t *Table) takeOver(known, before *entry) {
-	if before != nil && NameOf(before.instance.ID) != NameOf(known.instance.ID) {
-		t.replaceAt(before.instance.ID, known.instance.ID)
+// takeOver puts an instance in the place of the incumbent.
+func (t *Table) takeOver(known, incumbent *entry) {
+	if incumbent != nil && NameOf(incumbent.instance.ID) != NameOf(known.instance.ID) {
+		t.replaceOwner(incumbent.instance.ID, known.instance.ID)
 	}
 	if known.instance.Replaced {
-		t.putInUse(known)
+		t.activate(known)
 	}
-	t.hold(known)
+	t.holdAddress(known)
 }
 
-// putInUse makes a start that was replaced the one in use, in the place of all others of its server.
-func (t *Table) putInUse(known *entry) {
-	known.former, known.instance.Replaced = false, false
+// activate makes a replaced incarnation the active one of its server.
+func (t *Table) activate(known *entry) {
+	known.superseded, known.instance.Replaced = false, false
 	t.touch(known)
 	for _, other := range t.byName[NameOf(known.instance.ID)] {
 		if other != known {
@@ -192,46 +201,47 @@
 	}
 }
 
-// later reports whether the entry is of a later start than an instance, by what both say.
-func (e *entry) later(instance Instance) bool {
+// startedAfter reports whether the entry has a later start time than an instance.
+func (e *entry) startedAfter(instance Instance) bool {
 	return instance.Born > 0 && e.instance.Born > instance.Born
 }
 
-// precedes reports whether an entry goes before an instance that sends heartbeats in its place: it is
-// of a later start and was heard of lately. The time of a start is by the clock of the server's machine,
-// which may have been set back, so that it does not tell for one that is silent.
-func (e *entry) precedes(instance Instance) bool {
-	return e.instance.State == Ready && e.later(instance)
+// outranks reports whether an entry takes precedence over an instance that sends heartbeats in
+// its place: it is ready and has a later start time. Start times come from the clock of the
+// server's machine, which may have been set back, so they do not count if the entry is
+// missing.
+func (e *entry) outranks(instance Instance) bool {
+	return e.instance.State == Ready && e.startedAfter(instance)
 }
 
-// LeaveName marks the starts of a server as leaving for which a departure holds. Where the departure
-// names a start, and that one may have been in use, starts that were known before it and claim to be later
-// are set aside: a clock may have been set back between them.
-func (t *Table) LeaveName(left NameDeparture) {
-	departed := t.byName[left.Name][LifeID(left.Name, left.Born)]
-	inUse := left.Born > 0 && (departed == nil || !departed.former)
-	for id, known := range t.byName[left.Name] {
+// LeaveName marks the incarnations of a server to which a departure applies as leaving. If the
+// departure names an incarnation that may have been active, incarnations known before it with
+// a later start time are deactivated, since the clock may have been set back in between.
+func (t *Table) LeaveName(departure NameDeparture) {
+	departed := t.byName[departure.Name][LifeID(departure.Name, departure.Born)]
+	inUse := departure.Born > 0 && (departed == nil || !departed.superseded)
+	for id, known := range t.byName[departure.Name] {
 		switch {
-		case left.holds(known.instance):
+		case departure.appliesTo(known.instance):
 			t.Leave(id)
-		case inUse && known.instance.Since <= left.Before && known.instance.State != Leaving && !known.instance.Replaced:
-			t.setAside(known)
-			t.noteReplaced(known, LifeID(left.Name, left.Born))
+		case inUse && known.instance.Since <= departure.Before && known.instance.State != Leaving && !known.instance.Replaced:
+			t.deactivate(known)
+			t.recordReplacement(known, LifeID(departure.Name, departure.Born))
 		}
 	}
 }
 
-// Former returns the ids of the starts that one start of a server has taken the place of, whatever
-// times of start they name; none where that one is not known to be in use.
-func (t *Table) Former(id string) (former []string) {
-	starts := t.byName[NameOf(id)]
-	if current := starts[id]; current == nil || current.former {
+// Former returns the IDs of the incarnations that the given one has superseded, whatever their
+// start times; none unless the given one is known and not superseded itself.
+func (t *Table) Former(id string) (superseded []string) {
+	incarnations := t.byName[NameOf(id)]
+	if current := incarnations[id]; current == nil || current.superseded {
 		return nil
 	}
-	for other, known := range starts {
-		if known.former {
-			former = append(former, other)
+	for other, known := range incarnations {
+		if known.superseded {
+			superseded = append(superseded, other)
 		}
 	}
-	return former
+	return superseded
 }
--- a/internal/registry/succession_test.go
+++ b/internal/registry/succession_test.go
@@ -11,48 +11,50 @@
 )
 
 const (
-	successionMissingAfter = 5 * time.Second
-	successionForgetAfter  = time.Minute
-	successionName         = "i"
+	testMissingAfter = 5 * time.Second
+	testForgetAfter  = time.Minute
+	testName         = "i"
 )
 
-// succession is a table that hears of the starts of one server, and the log of its group.
-type succession struct {
+// harness is a table that receives the heartbeats of one server's incarnations, with the log
+// index of its group.
+type harness struct {
 	table *registry.Table
 	now   time.Time
 	index uint64
-	// sequences are the last ones of each start.
+	// sequences are the last ones of each incarnation.
 	sequences map[int64]uint64
 }
 
-func newSuccession() *succession {
-	return &succession{
-		table: registry.New(successionMissingAfter, successionForgetAfter), now: time.Unix(100, 0), sequences: map[int64]uint64{},
+func newHarness() *harness {
+	return &harness{
+		table: registry.New(testMissingAfter, testForgetAfter), now: time.Unix(100, 0), sequences: map[int64]uint64{},
 	}
 }
 
-// beat takes in a heartbeat of a start.
-func (s *succession) beat(born int64, address string, state registry.State) {
-	s.sequences[born]++
+// heartbeat records a heartbeat of an incarnation.
+func (s *harness) heartbeat(startedAt int64, address string, state registry.State) {
+	s.sequences[startedAt]++
 	s.table.Report(s.now, registry.Instance{
-		ID: registry.LifeID(successionName, born), Born: born, Service: "s", Address: address, Slots: 2, State: state,
-		Sequence: s.sequences[born], Since: s.index + 1,
+		ID: registry.LifeID(testName, startedAt), Born: startedAt, Service: "s", Address: address, Slots: 2, State: state,
+		Sequence: s.sequences[startedAt], Since: s.index + 1,
 	})
 }
 
-// depart takes in the departure of a start as a node does that applies it.
-func (s *succession) depart(born int64) {
-	id := registry.LifeID(successionName, born)
+// depart applies the departure of an incarnation as a node does.
+func (s *harness) depart(startedAt int64) {
+	id := registry.LifeID(testName, startedAt)
 	former := s.table.Former(id)
 	s.index++
 	for _, left := range append(former, id) {
 		s.table.Leave(left)
 	}
-	s.table.LeaveName(registry.NameDeparture{Name: successionName, Before: s.index, Born: born})
+	s.table.LeaveName(registry.NameDeparture{Name: testName, Before: s.index, Born: startedAt})
 }
 
-// inUse returns the starts that routers may send work to, by their address.
-func (s *succession) inUse() map[string][]int64 {
+// active returns the start times of the incarnations that routers may send work to, by
+// address.
+func (s *harness) active() map[string][]int64 {
 	found := map[string][]int64{}
 	for _, known := range s.table.Since(s.now, 0) {
 		if known.State != registry.Leaving && !known.Replaced {
@@ -67,247 +69,257 @@
 	secondAddress = "10.0.0.2:1"
 )
 
-// TestServerThatStartedAgainStandsTwiceInTheTable guards against two starts of a server that are both
-// given work, of which the one that answers may have left.
-func TestServerThatStartedAgainStandsTwiceInTheTable(t *testing.T) {
+// TestRestartedServerHasOneActiveIncarnation guards against sending work to two incarnations
+// of one server, since the process that replies may have left.
+func TestRestartedServerHasOneActiveIncarnation(t *testing.T) {
 	for name, second := range map[string]string{"at its address": firstAddress, "at another one": secondAddress} {
-		s := newSuccession()
-		s.beat(10, firstAddress, registry.Ready)
-		s.beat(20, second, registry.Ready)
-		s.beat(10, firstAddress, registry.Ready)
-		require.Equal(t, map[string][]int64{second: {20}}, s.inUse(), name)
+		s := newHarness()
+		s.heartbeat(10, firstAddress, registry.Ready)
+		s.heartbeat(20, second, registry.Ready)
+		s.heartbeat(10, firstAddress, registry.Ready)
+		require.Equal(t, map[string][]int64{second: {20}}, s.active(), name)
 		require.Equal(t, 1, s.table.Count(registry.Ready), name)
 		require.Zero(t, s.table.Count(registry.Missing), name)
 		require.Equal(t, 1, s.table.CountReplaced(), name)
 		s.depart(20)
-		s.beat(10, firstAddress, registry.Ready)
-		s.beat(10, firstAddress, registry.Ready)
-		s.beat(10, firstAddress, registry.Ready)
-		require.Empty(t, s.inUse(), name)
+		s.heartbeat(10, firstAddress, registry.Ready)
+		s.heartbeat(10, firstAddress, registry.Ready)
+		s.heartbeat(10, firstAddress, registry.Ready)
+		require.Empty(t, s.active(), name)
 	}
 }
 
-// TestLateDepartureOfAnEarlierStartTakesTheLaterOneOut guards against the opposite.
-func TestLateDepartureOfAnEarlierStartTakesTheLaterOneOut(t *testing.T) {
-	s := newSuccession()
-	s.beat(10, firstAddress, registry.Ready)
-	s.beat(20, firstAddress, registry.Ready)
-	s.beat(10, firstAddress, registry.Leaving)
+// TestLateDepartureOfAnEarlierIncarnationKeepsTheLaterOne guards against removing the active
+// incarnation when the departure of an earlier one arrives late.
+func TestLateDepartureOfAnEarlierIncarnationKeepsTheLaterOne(t *testing.T) {
+	s := newHarness()
+	s.heartbeat(10, firstAddress, registry.Ready)
+	s.heartbeat(20, firstAddress, registry.Ready)
+	s.heartbeat(10, firstAddress, registry.Leaving)
 	s.depart(10)
-	require.Equal(t, map[string][]int64{firstAddress: {20}}, s.inUse())
+	require.Equal(t, map[string][]int64{firstAddress: {20}}, s.active())
 }
 
-// TestStartWithAClockThatWasSetBackKeepsTheEarlierOneInUse guards against requests by the entry of the
-// start before, which claims to be the later one, once the start in use has left.
-func TestStartWithAClockThatWasSetBackKeepsTheEarlierOneInUse(t *testing.T) {
-	s := newSuccession()
-	s.beat(20, firstAddress, registry.Ready)
-	s.beat(10, firstAddress, registry.Ready)
-	require.Equal(t, map[string][]int64{firstAddress: {20}}, s.inUse(), "the order is not known, and one entry is in use")
+// TestDepartureAfterClockWasSetBackDeactivatesTheEarlierEntry guards against requests through
+// the entry of the earlier incarnation, which has the later start time, once the active
+// incarnation has left.
+func TestDepartureAfterClockWasSetBackDeactivatesTheEarlierEntry(t *testing.T) {
+	s := newHarness()
+	s.heartbeat(20, firstAddress, registry.Ready)
+	s.heartbeat(10, firstAddress, registry.Ready)
+	require.Equal(t, map[string][]int64{firstAddress: {20}}, s.active(), "the order is unknown, and one entry is active")
 	s.depart(10)
-	require.Empty(t, s.inUse())
+	require.Empty(t, s.active())
 	for range 3 {
-		s.beat(20, firstAddress, registry.Ready)
+		s.heartbeat(20, firstAddress, registry.Ready)
 	}
-	require.Empty(t, s.inUse(), "late heartbeats come at once")
-	s.now = s.now.Add(successionMissingAfter / 2)
-	s.beat(20, firstAddress, registry.Ready)
-	require.Equal(t, map[string][]int64{firstAddress: {20}}, s.inUse(), "it is the one that goes on")
+	require.Empty(t, s.active(), "late heartbeats arrive at once")
+	s.now = s.now.Add(testMissingAfter / 2)
+	s.heartbeat(20, firstAddress, registry.Ready)
+	require.Equal(t, map[string][]int64{firstAddress: {20}}, s.active(), "it continues to send heartbeats")
 }
 
-// TestHeartbeatWithoutATimeOfStartReplacesAStart guards against a garbled heartbeat that takes the
-// place of the start in use.
-func TestHeartbeatWithoutATimeOfStartReplacesAStart(t *testing.T) {
-	s := newSuccession()
-	s.beat(20, firstAddress, registry.Ready)
-	s.beat(0, firstAddress, registry.Ready)
-	require.Equal(t, map[string][]int64{firstAddress: {20}}, s.inUse())
-	other := newSuccession()
-	other.beat(0, firstAddress, registry.Ready)
-	other.beat(20, firstAddress, registry.Ready)
-	require.Equal(t, map[string][]int64{firstAddress: {20}}, other.inUse(), "its software names them from this start on")
+// TestHeartbeatWithoutStartTimeDoesNotReplace guards against a garbled heartbeat that takes
+// the place of the active incarnation.
+func TestHeartbeatWithoutStartTimeDoesNotReplace(t *testing.T) {
+	s := newHarness()
+	s.heartbeat(20, firstAddress, registry.Ready)
+	s.heartbeat(0, firstAddress, registry.Ready)
+	require.Equal(t, map[string][]int64{firstAddress: {20}}, s.active())
+	other := newHarness()
+	other.heartbeat(0, firstAddress, registry.Ready)
+	other.heartbeat(20, firstAddress, registry.Ready)
+	require.Equal(t, map[string][]int64{firstAddress: {20}}, other.active(), "its software reports start times from this incarnation on")
 }
 
-// TestStartsOfAServerSucceedEachOther plays a server that ends and starts again with any clock, at any
-// address, whose starts leave, and of which heartbeats come late.
-func TestStartsOfAServerSucceedEachOther(t *testing.T) {
+// TestIncarnationsOfAServerSucceedEachOther simulates a server that restarts with any clock,
+// at any address, whose incarnations leave and whose heartbeats arrive late.
+func TestIncarnationsOfAServerSucceedEachOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSuccession()
+		s := newHarness()
 		addresses := []string{firstAddress, secondAddress}
-		borns := rapid.SliceOfNDistinct(rapid.Int64Range(1, 1000), 2, 5, rapid.ID[int64]).Draw(t, "borns")
+		startTimes := rapid.SliceOfNDistinct(rapid.Int64Range(1, 1000), 2, 5, rapid.ID[int64]).Draw(t, "startTimes")
 		at := make(map[int64]string)
-		for position, born := range borns {
-			at[born] = rapid.SampledFrom(addresses).Draw(t, "address")
-			playStart(t, s, born, borns[:position], at)
+		for position, startedAt := range startTimes {
+			at[startedAt] = rapid.SampledFrom(addresses).Draw(t, "address")
+			runIncarnation(t, s, startedAt, startTimes[:position], at)
 			if rapid.Bool().Draw(t, "leaves") {
-				s.beat(born, at[born], registry.Leaving)
-				s.depart(born)
-				require.NotContains(t, s.inUse(), at[born], "the start in use has left")
-				playLate(t, s, borns[:position], at)
-				require.NotContains(t, s.inUse(), at[born], "a late heartbeat brings an earlier start back")
+				s.heartbeat(startedAt, at[startedAt], registry.Leaving)
+				s.depart(startedAt)
+				require.NotContains(t, s.active(), at[startedAt], "the active incarnation has left")
+				sendLateHeartbeats(t, s, startTimes[:position], at)
+				require.NotContains(t, s.active(), at[startedAt], "a late heartbeat reactivates an earlier incarnation")
 			}
 		}
-		born := borns[len(borns)-1] + 2000
-		at[born] = firstAddress
-		playStart(t, s, born, borns, at)
-		s.now = s.now.Add(successionMissingAfter + time.Second)
+		startedAt := startTimes[len(startTimes)-1] + 2000
+		at[startedAt] = firstAddress
+		runIncarnation(t, s, startedAt, startTimes, at)
+		s.now = s.now.Add(testMissingAfter + time.Second)
 		s.table.Expire(s.now)
 		for range 4 {
-			s.beat(born, firstAddress, registry.Ready)
+			s.heartbeat(startedAt, firstAddress, registry.Ready)
 			s.now = s.now.Add(time.Second)
 		}
-		require.Contains(t, s.inUse()[firstAddress], born, "the last start serves")
+		require.Contains(t, s.active()[firstAddress], startedAt, "the last incarnation is active")
 	})
 }
 
-// playStart has a start send some heartbeats, between which those of earlier ones may come late.
-func playStart(t *rapid.T, s *succession, born int64, earlier []int64, at map[int64]string) {
+// runIncarnation has an incarnation send some heartbeats, between which those of earlier ones
+// may arrive late.
+func runIncarnation(t *rapid.T, s *harness, startedAt int64, earlier []int64, at map[int64]string) {
 	for range rapid.IntRange(1, 5).Draw(t, "heartbeats") {
-		s.beat(born, at[born], registry.Ready)
-		playLate(t, s, earlier, at)
-		requireOneInUse(t, s)
+		s.heartbeat(startedAt, at[startedAt], registry.Ready)
+		sendLateHeartbeats(t, s, earlier, at)
+		requireOneActive(t, s)
 		if rapid.Bool().Draw(t, "time passes") {
-			s.now = s.now.Add(successionMissingAfter / 2)
+			s.now = s.now.Add(testMissingAfter / 2)
 			s.table.Expire(s.now)
 		}
 	}
 }
 
-// playLate has some heartbeats of earlier starts come late, those of one start at once.
-func playLate(t *rapid.T, s *succession, starts []int64, at map[int64]string) {
-	for _, born := range starts {
+// sendLateHeartbeats delivers some late heartbeats of earlier incarnations, those of one
+// incarnation at once.
+func sendLateHeartbeats(t *rapid.T, s *harness, starts []int64, at map[int64]string) {
+	for _, startedAt := range starts {
 		for range rapid.IntRange(0, 3).Draw(t, "late") {
-			s.beat(born, at[born], registry.Ready)
+			s.heartbeat(startedAt, at[startedAt], registry.Ready)
 		}
 	}
 }
 
-// requireOneInUse fails if two starts of the server are given work at one address.
-func requireOneInUse(t *rapid.T, s *succession) {
-	for address, borns := range s.inUse() {
-		require.Len(t, borns, 1, address)
+// requireOneActive fails if two incarnations of the server get work at one address.
+func requireOneActive(t *rapid.T, s *harness) {
+	for address, startTimes := range s.active() {
+		require.Len(t, startTimes, 1, address)
 	}
 }
 
-// TestServerKeepsOthersFromAnAddressThatItLeft guards against a start that never comes into use because
-// another server, which had its address before, goes on sending heartbeats from elsewhere.
-func TestServerKeepsOthersFromAnAddressThatItLeft(t *testing.T) {
-	s := newSuccession()
-	other := func(born int64, address string) {
+// TestFormerOwnerDoesNotBlockItsOldAddress guards against an incarnation that never becomes
+// active because another server, which had its address before, continues to send heartbeats
+// from elsewhere.
+func TestFormerOwnerDoesNotBlockItsOldAddress(t *testing.T) {
+	s := newHarness()
+	other := func(startedAt int64, address string) {
 		s.table.Report(s.now, registry.Instance{
-			ID: registry.LifeID("other", born), Born: born, Service: "s", Address: address, Slots: 2, State: registry.Ready, Sequence: s.sequences[10],
+			ID: registry.LifeID("other", startedAt), Born: startedAt, Service: "s", Address: address, Slots: 2, State: registry.Ready, Sequence: s.sequences[10],
 		})
 	}
 	other(1, firstAddress)
 	other(2, secondAddress)
-	s.beat(20, firstAddress, registry.Leaving)
+	s.heartbeat(20, firstAddress, registry.Leaving)
 	s.depart(20)
 	for range 4 {
-		s.beat(10, firstAddress, registry.Ready)
+		s.heartbeat(10, firstAddress, registry.Ready)
 		s.now = s.now.Add(time.Second)
 		other(2, secondAddress)
 	}
-	require.Equal(t, []int64{10}, s.inUse()[firstAddress])
+	require.Equal(t, []int64{10}, s.active()[firstAddress])
 }
 
-// TestTableOfAnotherNodeTurnsTheOrderOfStartsRound guards against an earlier start, with a clock that was
-// set back after it, which takes the place of the start in use because another node tells of it later.
-func TestTableOfAnotherNodeTurnsTheOrderOfStartsRound(t *testing.T) {
+// TestTableOfAnotherNodeDoesNotReorderIncarnations guards against an earlier incarnation with
+// a later start time, after a clock was set back, that replaces the active one because another
+// node reports it later.
+func TestTableOfAnotherNodeDoesNotReorderIncarnations(t *testing.T) {
 	for name, address := range map[string]string{"at one address": firstAddress, "at another one": secondAddress} {
-		s := newSuccession()
-		s.beat(10, address, registry.Ready)
+		s := newHarness()
+		s.heartbeat(10, address, registry.Ready)
 		s.table.Report(s.now, registry.Instance{
-			ID: registry.LifeID(successionName, 20), Born: 20, Service: "s", Address: firstAddress, Slots: 2, State: registry.Ready,
+			ID: registry.LifeID(testName, 20), Born: 20, Service: "s", Address: firstAddress, Slots: 2, State: registry.Ready,
 			Sequence: 7, Age: time.Second,
 		})
-		require.Contains(t, s.inUse()[address], int64(10), name)
+		require.Contains(t, s.active()[address], int64(10), name)
 	}
 }
 
-// TestStartThatWasReplacedIsHeardOfWhenItLeaves guards against a departure that is refused when it is
-// repeated, since its start was believed to be replaced.
-func TestStartThatWasReplacedIsHeardOfWhenItLeaves(t *testing.T) {
-	s := newSuccession()
-	s.beat(20, firstAddress, registry.Ready)
-	s.now = s.now.Add(successionMissingAfter + time.Second)
+// TestReplacedIncarnationMayRepeatItsDeparture guards against refusing a repeated departure
+// because its incarnation was considered replaced.
+func TestReplacedIncarnationMayRepeatItsDeparture(t *testing.T) {
+	s := newHarness()
+	s.heartbeat(20, firstAddress, registry.Ready)
+	s.now = s.now.Add(testMissingAfter + time.Second)
 	s.table.Expire(s.now)
-	s.beat(10, firstAddress, registry.Ready)
+	s.heartbeat(10, firstAddress, registry.Ready)
 	s.index++
-	s.table.LeaveName(registry.NameDeparture{Name: successionName, Before: s.index})
-	s.now = s.now.Add(successionMissingAfter + time.Second)
+	s.table.LeaveName(registry.NameDeparture{Name: testName, Before: s.index})
+	s.now = s.now.Add(testMissingAfter + time.Second)
 	s.table.Expire(s.now)
-	require.True(t, s.table.Heard(s.now, successionName))
-	s.now = s.now.Add(successionMissingAfter + 5*time.Second)
-	require.False(t, s.table.Heard(s.now, successionName))
+	require.True(t, s.table.Heard(s.now, testName))
+	s.now = s.now.Add(testMissingAfter + 5*time.Second)
+	require.False(t, s.table.Heard(s.now, testName))
 }
 
-// TestHeartbeatsToldLaterBringAnEarlierStartBack guards against late heartbeats that come to several nodes
-// at once, and are told from one to another over a while, for a start that goes on.
-func TestHeartbeatsToldLaterBringAnEarlierStartBack(t *testing.T) {
-	const toldWithin = 2 * successionMissingAfter
-	s := newSuccession()
-	s.table.ClaimAtLeast(toldWithin)
-	s.beat(20, firstAddress, registry.Ready)
-	s.beat(10, firstAddress, registry.Ready)
+// TestHeartbeatsForwardedLateDoNotReactivateAnEarlierIncarnation guards against late
+// heartbeats that arrive at several nodes at once and are forwarded between them over some
+// time, which would look like an incarnation that continues.
+func TestHeartbeatsForwardedLateDoNotReactivateAnEarlierIncarnation(t *testing.T) {
+	const forwardedWithin = 2 * testMissingAfter
+	s := newHarness()
+	s.table.ClaimAtLeast(forwardedWithin)
+	s.heartbeat(20, firstAddress, registry.Ready)
+	s.heartbeat(10, firstAddress, registry.Ready)
 	s.depart(10)
 	for range 3 {
-		s.beat(20, firstAddress, registry.Ready)
-		s.now = s.now.Add(toldWithin / 4)
+		s.heartbeat(20, firstAddress, registry.Ready)
+		s.now = s.now.Add(forwardedWithin / 4)
 	}
-	require.Empty(t, s.inUse())
+	require.Empty(t, s.active())
 }
 
-// TestRestoredTableDecidesWhichStartIsInUse guards against a start, with a clock that was set back before
-// it, that gets no requests because a node reads it from its file together with an earlier one.
-func TestRestoredTableDecidesWhichStartIsInUse(t *testing.T) {
-	s := newSuccession()
-	for born, address := range map[int64]string{10: secondAddress, 20: firstAddress} {
+// TestRestoredTableDoesNotDecideWhichIncarnationIsActive guards against an incarnation, whose
+// clock was set back, that gets no requests because a node restores it from its file together
+// with an earlier one.
+func TestRestoredTableDoesNotDecideWhichIncarnationIsActive(t *testing.T) {
+	s := newHarness()
+	for startedAt, address := range map[int64]string{10: secondAddress, 20: firstAddress} {
 		s.table.Report(s.now, registry.Instance{
-			ID: registry.LifeID(successionName, born), Born: born, Service: "s", Address: address, Slots: 2, State: registry.Ready, Sequence: 3, Restored: true,
+			ID: registry.LifeID(testName, startedAt), Born: startedAt, Service: "s", Address: address, Slots: 2, State: registry.Ready, Sequence: 3, Restored: true,
 		})
 	}
-	require.Equal(t, map[string][]int64{firstAddress: {20}, secondAddress: {10}}, s.inUse())
-	s.beat(30, secondAddress, registry.Ready)
-	require.Equal(t, map[string][]int64{secondAddress: {30}}, s.inUse())
+	require.Equal(t, map[string][]int64{firstAddress: {20}, secondAddress: {10}}, s.active())
+	s.heartbeat(30, secondAddress, registry.Ready)
+	require.Equal(t, map[string][]int64{secondAddress: {30}}, s.active())
 }
 
-// TestRestoredTableBringsAnEarlierStartBack guards against requests by an earlier start, with a clock that
-// was set back after it, that a node reads from its file together with the start that has left.
-func TestRestoredTableBringsAnEarlierStartBack(t *testing.T) {
-	s := newSuccession()
+// TestRestoredTableDoesNotReactivateAnEarlierIncarnation guards against requests to an earlier
+// incarnation, whose clock was set back after it, that a node restores from its file together
+// with the incarnation that has left.
+func TestRestoredTableDoesNotReactivateAnEarlierIncarnation(t *testing.T) {
+	s := newHarness()
 	s.index = 7
-	for _, born := range []int64{10, 20} {
+	for _, startedAt := range []int64{10, 20} {
 		state := registry.Ready
-		if born == 10 {
+		if startedAt == 10 {
 			state = registry.Leaving
 		}
 		s.table.Report(s.now, registry.Instance{
-			ID: registry.LifeID(successionName, born), Born: born, Service: "s", Address: firstAddress, Slots: 2, State: state, Sequence: 3, Since: 5, Restored: true,
+			ID: registry.LifeID(testName, startedAt), Born: startedAt, Service: "s", Address: firstAddress, Slots: 2, State: state, Sequence: 3, Since: 5, Restored: true,
 		})
 	}
 	s.depart(10)
-	require.Empty(t, s.inUse())
+	require.Empty(t, s.active())
 }
 
-// TestLateHeartbeatsAtAnotherServersAddressTakeTheStartInUseOut guards against a start that gets no work
-// because late heartbeats of an earlier one win back the address that another server has since.
-func TestLateHeartbeatsAtAnotherServersAddressTakeTheStartInUseOut(t *testing.T) {
-	s := newSuccession()
-	s.beat(10, secondAddress, registry.Ready)
-	s.beat(5, firstAddress, registry.Ready)
+// TestLateHeartbeatsAtAnotherServersAddressKeepTheActiveIncarnation guards against an
+// incarnation that gets no work because late heartbeats of an earlier one win back an address
+// that now belongs to another server.
+func TestLateHeartbeatsAtAnotherServersAddressKeepTheActiveIncarnation(t *testing.T) {
+	s := newHarness()
+	s.heartbeat(10, secondAddress, registry.Ready)
+	s.heartbeat(5, firstAddress, registry.Ready)
 	s.table.Report(s.now, registry.Instance{ID: "other", Service: "s", Address: firstAddress, Slots: 2, State: registry.Ready, Sequence: 1})
 	for range 3 {
-		s.beat(5, firstAddress, registry.Ready)
+		s.heartbeat(5, firstAddress, registry.Ready)
 	}
-	require.Equal(t, []int64{10}, s.inUse()[secondAddress])
+	require.Equal(t, []int64{10}, s.active()[secondAddress])
 }
 
-// TestStartThatLeftIsTakenOverAsReplaced guards against a start that is known to leave and becomes
-// missing, since a departure of its server names an earlier time of start.
-func TestStartThatLeftIsTakenOverAsReplaced(t *testing.T) {
-	s := newSuccession()
+// TestLeavingIncarnationReportedAsReplacedStaysLeaving guards against a leaving incarnation
+// that becomes missing because a departure of its server names an earlier start time.
+func TestLeavingIncarnationReportedAsReplacedStaysLeaving(t *testing.T) {
+	s := newHarness()
 	s.table.Report(s.now, registry.Instance{
-		ID: registry.LifeID(successionName, 9), Born: 9, Service: "s", Address: firstAddress, Slots: 2, State: registry.Leaving, Sequence: 1, Replaced: true,
+		ID: registry.LifeID(testName, 9), Born: 9, Service: "s", Address: firstAddress, Slots: 2, State: registry.Leaving, Sequence: 1, Replaced: true,
 	})
 	require.Equal(t, registry.Leaving, statesIn(s.table, s.now)["i#9"])
 }
