--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,22 +1,22 @@
-// Package quota bounds how many requests each tenant sends over all routers together. It
-// has no I/O and reads no clock.
+// Package quota limits how many requests each tenant sends through all routers together. It
+// does no I/O and reads no clock.
 //
 // A Ledger, at the directory's leader, holds a token bucket for each tenant with a limit
-// (RFC 2697's committed rate and burst). A Gate, at each router, decides about requests:
+// (committed rate and burst as in RFC 2697). A Gate, at each router, decides about requests:
 //
-//   - While the bucket of a tenant is well filled, routers let its requests pass at once
-//     and report afterwards what was spent. That costs them nothing.
-//   - Once a bucket is nearly empty the tenant is metered: the answer to a report says so, and
-//     the directory tells all routers, which then ask for a token for each request.
-//   - A router lets a request pass unasked only while the ledger has confirmed all but a few
-//     of those before.
+//   - While a tenant's bucket is well filled, routers admit its requests at once and report
+//     what was spent afterwards, which adds no latency.
+//   - Once the bucket is nearly empty the tenant is metered: replies to reports say so, the
+//     directory notifies all routers, and they request a token for each request.
+//   - A router admits requests without a token only while the ledger has acknowledged all but
+//     a few of the earlier ones.
 //
-// So what passes before all routers know is bounded by a count, whatever the delays are; the
-// bucket goes below zero by that, and is filled up again before a token is granted, within a
-// window. A quarter of the tolerance of a limit is given away on
-// purpose, so that a tenant just below it is refused nothing; the rest is for that
-// debt.
+// So the number of requests admitted before all routers know of the metering is bounded,
+// whatever the delays are. The bucket goes below zero by that number and is refilled within a
+// window before another token is granted. A quarter of a limit's tolerance is always added to
+// the bucket, so that a tenant just below its limit is refused nothing; the rest covers this
+// overdraft.
 //
-// A router that reaches no leader lets each tenant pass at its own small share, so that no
-// two sides of a cut may spend a limit each.
+// A router that reaches no leader admits each tenant at a small local share of its limit, so
+// that the two sides of a network partition can't each spend a whole limit.
 package quota
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -7,173 +7,176 @@
 	"time"
 )
 
-// Decision is what becomes of a request of a tenant.
+// Decision is the outcome for a tenant's request.
 type Decision uint8
 
-// The decisions.
+// Possible decisions.
 const (
-	// Pass lets the request go on.
+	// Pass admits the request.
 	Pass Decision = iota
-	// Ask has it wait for a token.
+	// RequestToken has the request wait for a token from the ledger.
 	Ask
-	// Refuse turns it away: the tenant has used its limit up.
+	// Refuse rejects the request: the tenant has used up its limit.
 	Refuse
 )
 
-// Shares of routers that reach no leader. Where only some are cut off, the others still get
-// the whole limit, so that what these spend has to fit into its tolerance.
+// Limits for isolated routers, which reach no leader. If only some routers are isolated, the
+// others still get the whole limit, so what the isolated ones spend has to fit into its
+// tolerance.
 const (
-	// aloneTime of a tenant's limit, and aloneTokens, are spread over all routers at once: a
-	// change of the leader takes about as long. Where that is less than a token for each,
-	// some have one and the others none.
-	aloneTime   = 700 * time.Millisecond
-	aloneTokens = 3.0
-	// aloneRate of the limit's rate is spread over them from then on.
-	aloneRate = 0.1
+	// isolatedBurstTime of a tenant's limit, plus isolatedBurstTokens, is divided among all
+	// routers at once: a change of the leader takes about as long. If that is less than one
+	// token per router, some get one and the others none.
+	isolatedBurstTime   = 700 * time.Millisecond
+	isolatedBurstTokens = 3.0
+	// isolatedRateShare is the fraction of the limit's rate divided among them afterwards.
+	isolatedRateShare = 0.1
 )
 
-// Gate decides about the requests that come to one router. Its owner guards it.
+// Gate decides about the requests that arrive at one router. Its owner must guard it.
 type Gate struct {
 	limits  map[string]Limit
 	routers int
 	metered map[string]bool
-	// spent are requests that passed and were not reported yet, sent those in reports that
-	// were not answered yet.
-	spent, sent map[string]int
-	// next is when there is another token for a tenant; until then it is refused at once.
-	next map[string]time.Time
-	// failing says that the last report did not come through.
-	failing bool
-	// alone are the shares of tenants while no leader is reached.
-	alone map[string]*share
-	// random draws which shares begin with a token.
+	// unreported counts admitted requests that were not reported yet, unacknowledged those in
+	// reports without a reply.
+	unreported, unacknowledged map[string]int
+	// nextToken is when the next token for a tenant is available; until then requests are
+	// refused at once.
+	nextToken map[string]time.Time
+	// isolated says that the last report failed or that the connection to the directory was
+	// lost.
+	isolated bool
+	// localBuckets are the buckets of tenants while no leader is reachable.
+	localBuckets map[string]*localBucket
+	// random decides which local buckets start with a token.
 	random *rand.Rand
 }
 
-// share is a token bucket of one router.
-type share struct {
-	level float64
-	most  float64
-	at    time.Time
+// localBucket is a token bucket of one router.
+type localBucket struct {
+	level     float64
+	capacity  float64
+	updatedAt time.Time
 }
 
-// NewGate returns one that knows no limits. The seed is another one at each router.
+// NewGate returns a gate without limits. The seed must differ between routers.
 func NewGate(seed uint64) *Gate {
 	return &Gate{
 		random:  rand.New(rand.NewPCG(seed, seed)),
-		routers: 1, metered: make(map[string]bool), spent: make(map[string]int),
-		sent: make(map[string]int), next: make(map[string]time.Time), alone: make(map[string]*share),
+		routers: 1, metered: make(map[string]bool), unreported: make(map[string]int),
+		unacknowledged: make(map[string]int), nextToken: make(map[string]time.Time), localBuckets: make(map[string]*localBucket),
 	}
 }
 
-// SetLimits replaces the limits of all tenants; those without one are left out.
+// SetLimits replaces the limits of all tenants; tenants without a limit are left out.
 func (g *Gate) SetLimits(limits map[string]Limit) {
 	g.limits = limits
-	clear(g.next)
-	clear(g.alone)
+	clear(g.nextToken)
+	clear(g.localBuckets)
 }
 
-// SetRouters takes in how many routers share the limits.
+// SetRouters sets how many routers share the limits.
 func (g *Gate) SetRouters(count int) { g.routers = max(1, count) }
 
-// SetMetered replaces the tenants that need a token for each request.
+// SetMetered replaces the set of tenants that need a token for each request.
 func (g *Gate) SetMetered(names []string) {
 	clear(g.metered)
 	for _, name := range names {
 		g.metered[name] = true
 	}
-	maps.DeleteFunc(g.next, func(name string, _ time.Time) bool { return !g.metered[name] })
+	maps.DeleteFunc(g.nextToken, func(name string, _ time.Time) bool { return !g.metered[name] })
 }
 
-// Admit decides about one request, and for Refuse after how long it may come again.
+// Admit decides about one request and, for Refuse, returns after how long to retry.
 func (g *Gate) Admit(now time.Time, tenant string) (Decision, time.Duration) {
 	limit := g.limits[tenant]
 	if limit.Rate <= 0 {
 		return Pass, 0
 	}
-	if g.failing {
-		return g.admitAlone(now, tenant, limit)
+	if g.isolated {
+		return g.admitIsolated(now, tenant, limit)
 	}
-	if !g.metered[tenant] && g.unconfirmed(tenant) < limit.credit(g.routers) {
-		g.spent[tenant]++
+	if !g.metered[tenant] && g.unconfirmed(tenant) < limit.unconfirmedLimit(g.routers) {
+		g.unreported[tenant]++
 		return Pass, 0
 	}
-	if wait := g.next[tenant].Sub(now); wait > 0 {
+	if wait := g.nextToken[tenant].Sub(now); wait > 0 {
 		return Refuse, wait
 	}
 	return Ask, 0
 }
 
-// unconfirmed are the requests that passed and of which the ledger isn't known to know.
-func (g *Gate) unconfirmed(tenant string) int { return g.spent[tenant] + g.sent[tenant] }
+// unconfirmed returns how many admitted requests the ledger has not acknowledged.
+func (g *Gate) unconfirmed(tenant string) int { return g.unreported[tenant] + g.unacknowledged[tenant] }
 
-// admitAlone lets a request pass by this router's own share, which is reported later.
-func (g *Gate) admitAlone(now time.Time, tenant string, limit Limit) (Decision, time.Duration) {
-	held, known := g.alone[tenant]
+// admitIsolated decides by the router's local bucket; what it admits is reported later.
+func (g *Gate) admitIsolated(now time.Time, tenant string, limit Limit) (Decision, time.Duration) {
+	local, known := g.localBuckets[tenant]
 	if !known {
-		due := (aloneTokens + aloneTime.Seconds()*limit.Rate) / float64(g.routers)
-		drawn := math.Floor(due + g.random.Float64())
-		// What passed just before and was not confirmed is of this share.
-		held = &share{at: now, level: max(0, drawn-float64(g.unconfirmed(tenant))), most: max(1, drawn)}
-		g.alone[tenant] = held
+		expected := (isolatedBurstTokens + isolatedBurstTime.Seconds()*limit.Rate) / float64(g.routers)
+		initial := math.Floor(expected + g.random.Float64())
+		// Requests admitted just before and not acknowledged count against this bucket.
+		local = &localBucket{updatedAt: now, level: max(0, initial-float64(g.unconfirmed(tenant))), capacity: max(1, initial)}
+		g.localBuckets[tenant] = local
 	}
-	rate := aloneRate * limit.Rate / float64(g.routers)
-	held.level = min(held.most, held.level+now.Sub(held.at).Seconds()*rate)
-	held.at = now
-	if held.level < 1 {
-		return Refuse, time.Duration((1 - held.level) / rate * float64(time.Second))
+	rate := isolatedRateShare * limit.Rate / float64(g.routers)
+	local.level = min(local.capacity, local.level+now.Sub(local.updatedAt).Seconds()*rate)
+	local.updatedAt = now
+	if local.level < 1 {
+		return Refuse, time.Duration((1 - local.level) / rate * float64(time.Second))
 	}
-	held.level--
-	g.spent[tenant]++
+	local.level--
+	g.unreported[tenant]++
 	return Pass, 0
 }
 
-// TakeSpent returns what is to be reported and forgets it; nil for nothing. Return gives it
-// back where that failed.
+// TakeUnreported returns what is to be reported and moves it to the unacknowledged requests;
+// nil if there is nothing. ReportFailed reverses that if the report fails.
 func (g *Gate) TakeSpent() map[string]int {
-	if len(g.spent) == 0 {
+	if len(g.unreported) == 0 {
 		return nil
 	}
-	taken := g.spent
-	g.spent = make(map[string]int, len(taken))
+	taken := g.unreported
+	g.unreported = make(map[string]int, len(taken))
 	for tenant, count := range taken {
-		g.sent[tenant] += count
+		g.unacknowledged[tenant] += count
 	}
 	return taken
 }
 
-// answered takes a report off those that were not answered yet.
-func (g *Gate) answered(spent map[string]int) {
+// acknowledge removes a report from the unacknowledged requests.
+func (g *Gate) acknowledge(spent map[string]int) {
 	for tenant, count := range spent {
-		if g.sent[tenant] -= count; g.sent[tenant] <= 0 {
-			delete(g.sent, tenant)
+		if g.unacknowledged[tenant] -= count; g.unacknowledged[tenant] <= 0 {
+			delete(g.unacknowledged, tenant)
 		}
 	}
 }
 
-// Return takes back what could not be reported.
+// Return records that a report failed, so that its requests are reported again.
 func (g *Gate) Return(spent map[string]int) {
-	g.answered(spent)
+	g.acknowledge(spent)
 	for tenant, count := range spent {
-		g.spent[tenant] += count
+		g.unreported[tenant] += count
 	}
-	g.failing = true
+	g.isolated = true
 }
 
-// Alone reports whether no leader is known to be reached.
-func (g *Gate) Alone() bool { return g.failing }
+// Alone reports whether no leader is known to be reachable.
+func (g *Gate) Alone() bool { return g.isolated }
 
-// Lose takes in that the directory is not heard, before any report has failed.
-func (g *Gate) Lose() { g.failing = true }
+// Lose records that the directory is unreachable before any report has failed.
+func (g *Gate) Lose() { g.isolated = true }
 
-// Reached takes in the answer to a report of what was spent.
+// Reached records the reply to a report of what was spent.
 func (g *Gate) Reached(now time.Time, spent map[string]int, reply Reply) {
-	g.failing = false
-	clear(g.alone)
-	g.answered(spent)
+	g.isolated = false
+	clear(g.localBuckets)
+	g.acknowledge(spent)
 	for tenant, metered := range reply.Metered {
-		// The answer comes sooner than the news that all routers get: without it a router
-		// would go on letting requests pass for as long as those take.
+		// The reply arrives sooner than the directory's notification: without it a router
+		// would continue to admit requests until that arrives.
 		if metered {
 			g.metered[tenant] = true
 		} else {
@@ -182,9 +185,9 @@
 	}
 	for tenant, given := range reply.Grants {
 		if given.Next > 0 {
-			g.next[tenant] = now.Add(given.Next)
+			g.nextToken[tenant] = now.Add(given.Next)
 		} else {
-			delete(g.next, tenant)
+			delete(g.nextToken, tenant)
 		}
 	}
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -7,189 +7,193 @@
 	"time"
 )
 
-// Limit is what a tenant may send, over all routers together.
+// Limit is what a tenant may send through all routers together.
 type Limit struct {
-	// Rate is in requests a second; 0 is no limit.
+	// Rate is in requests a second; 0 means no limit.
 	Rate float64
-	// Burst is how many requests beyond that may come at once.
+	// Burst is how many requests beyond the rate may arrive at once.
 	Burst float64
 }
 
-// Tolerance is by how much the requests of a tenant in any window may exceed its limit:
-// (Rate x Window + Burst) x (1 + Over) + Slack requests are allowed in each.
+// Tolerance is by how much the requests of a tenant may exceed its limit: in any window, up to
+// (rate x window + burst) x (1 + fraction) + slack requests are allowed.
 type Tolerance struct {
 	Over   float64
 	Slack  float64
 	Window time.Duration
 }
 
-// Shares of the tolerance.
+// How the tolerance is used.
 const (
-	// granted of it is added to every bucket, and steady of the slack to what comes into one
-	// in each window: a tenant that stays just below its limit is refused next to nothing
-	// though its bucket and its own count differ. The rest covers what passes before all
-	// routers know that a tenant is metered.
-	granted = 0.25
-	steady  = 0.3
-	// startShare of the slack is in the buckets of a ledger that has just begun, until it is a
-	// window old: the one before it may have granted all of a limit in the same window.
-	startShare = 0.2
+	// baseToleranceShare of it is added to every bucket, and steadySlackShare of the slack to
+	// the refill of one window. A tenant that stays just below its limit is then refused next
+	// to nothing although its bucket and its own count differ. The rest covers requests
+	// admitted before all routers know that a tenant is metered.
+	baseToleranceShare = 0.25
+	steadySlackShare   = 0.3
+	// initialSlackShare of the slack is in the buckets of a new ledger until it is a window
+	// old: the ledger before it may have granted a whole limit in the same window.
+	initialSlackShare = 0.2
 )
 
-// Thresholds of ending to meter.
+// Thresholds to stop metering.
 const (
-	// unmeterShare of a bucket has to be filled again until a tenant is not metered any
-	// more, and meterHold is the least time until then: each change is told to all routers.
-	unmeterShare = 0.6
-	meterHold    = time.Second
+	// unmeterShare is the fraction of a bucket that must be refilled before a tenant is no
+	// longer metered, and minMeterDuration the least time until then: all routers are notified
+	// of each change.
+	unmeterShare     = 0.6
+	minMeterDuration = time.Second
 )
 
-// maxReporters bounds the reporters whose last report is remembered.
+// maxReporters bounds the number of routers whose last sequence number is kept.
 const maxReporters = 20_000
 
-// bucket holds the tokens of one tenant. The level may be below zero.
+// bucket holds the tokens of one tenant. The level may be negative.
 type bucket struct {
-	limit   Limit
-	level   float64
-	at      time.Time
-	metered bool
-	since   time.Time
-	spent   uint64
-	refused uint64
-	// withheld are tokens that come into the bucket at release.
-	withheld float64
-	release  time.Time
+	limit             Limit
+	level             float64
+	updatedAt         time.Time
+	metered           bool
+	meteringChangedAt time.Time
+	spent             uint64
+	refused           uint64
+	// withheld tokens are added to the bucket at releaseAt.
+	withheld  float64
+	releaseAt time.Time
 }
 
-// Ledger counts what tenants spend. Its owner guards it.
+// Ledger counts what tenants spend. Its owner must guard it.
 type Ledger struct {
 	tolerance Tolerance
 	buckets   map[string]*bucket
-	// begun is set once it knows limits; left is when tenants lost theirs, for a window.
-	begun bool
-	left  map[string]time.Time
-	// reports are the sequence numbers of the last report of each router, so that one that
-	// is sent again, since its answer was lost, counts once.
-	reports map[string]uint64
-	// revision rises whenever the metered tenants change.
+	// initialized is set by the first limits; limitRemovedAt is when tenants lost their
+	// limits, kept for a window.
+	initialized    bool
+	limitRemovedAt map[string]time.Time
+	// lastSequences are the sequence numbers of each router's last report, so that a report
+	// that is sent again after its reply was lost counts once.
+	lastSequences map[string]uint64
+	// revision increases whenever the set of metered tenants changes.
 	revision uint64
 }
 
-// NewLedger returns one that knows no limits.
+// NewLedger returns a ledger without limits.
 func NewLedger(tolerance Tolerance) *Ledger {
 	return &Ledger{
 		tolerance: tolerance, buckets: make(map[string]*bucket),
-		left: make(map[string]time.Time), reports: make(map[string]uint64),
+		limitRemovedAt: make(map[string]time.Time), lastSequences: make(map[string]uint64),
 	}
 }
 
-// SetLimits replaces the limits of all tenants, from now on. Tenants without a limit are
-// left out.
+// SetLimits replaces the limits of all tenants from now on. Tenants without a limit are left
+// out.
 func (l *Ledger) SetLimits(now time.Time, limits map[string]Limit) {
-	maps.DeleteFunc(l.left, func(_ string, at time.Time) bool { return now.Sub(at) >= l.tolerance.Window })
+	maps.DeleteFunc(l.limitRemovedAt, func(_ string, at time.Time) bool { return now.Sub(at) >= l.tolerance.Window })
 	for name, limit := range limits {
 		if limit.Rate <= 0 {
 			continue
 		}
 		known, exists := l.buckets[name]
 		if !exists {
-			l.buckets[name] = l.begin(now, name, limit)
+			l.buckets[name] = l.newBucket(now, name, limit)
 			continue
 		}
-		l.fill(known, now)
+		l.refill(known, now)
 		known.limit = limit
 		known.level = min(known.level, l.capacity(limit))
 	}
-	l.forget(now, limits)
-	l.begun = true
+	l.removeUnlimited(now, limits)
+	l.initialized = true
 }
 
-// begin returns the bucket of a tenant that had none. It is full if the tenant had no limit
-// before: nothing of it was granted in this window. Where it may have been, by an earlier ledger
-// or under a limit that was taken away, most of it is withheld until the window is over.
-func (l *Ledger) begin(now time.Time, name string, limit Limit) *bucket {
+// newBucket returns a bucket for a tenant that had none. It is full if the tenant had no limit
+// before, as nothing was granted in this window. If tokens may have been granted, by an
+// earlier ledger or under a limit that was removed, most of the bucket is withheld until the
+// window ends.
+func (l *Ledger) newBucket(now time.Time, name string, limit Limit) *bucket {
 	full := l.capacity(limit)
-	held := &bucket{limit: limit, at: now, level: full}
-	if _, lately := l.left[name]; lately || !l.begun {
-		held.level = min(full, l.tolerance.Slack*startShare+1)
-		held.withheld, held.release = full-held.level, now.Add(l.tolerance.Window)
+	b := &bucket{limit: limit, updatedAt: now, level: full}
+	if _, recentlyRemoved := l.limitRemovedAt[name]; recentlyRemoved || !l.initialized {
+		b.level = min(full, l.tolerance.Slack*initialSlackShare+1)
+		b.withheld, b.releaseAt = full-b.level, now.Add(l.tolerance.Window)
 	}
-	return held
+	return b
 }
 
-// forget drops the buckets of tenants that have no limit any more.
-func (l *Ledger) forget(now time.Time, limits map[string]Limit) {
+// removeUnlimited drops the buckets of tenants that no longer have a limit.
+func (l *Ledger) removeUnlimited(now time.Time, limits map[string]Limit) {
 	maps.DeleteFunc(l.buckets, func(name string, held *bucket) bool {
-		gone := limits[name].Rate <= 0
-		if gone {
-			l.left[name] = now
+		removed := limits[name].Rate <= 0
+		if removed {
+			l.limitRemovedAt[name] = now
 		}
-		if gone && held.metered {
+		if removed && held.metered {
 			l.revision++
 		}
-		return gone
+		return removed
 	})
 }
 
-// capacity is how many tokens a bucket holds.
+// capacity returns how many tokens a bucket holds.
 func (l *Ledger) capacity(limit Limit) float64 {
-	return max(1, limit.Burst*(1+granted*l.tolerance.Over)+granted*l.tolerance.Slack)
+	return max(1, limit.Burst*(1+baseToleranceShare*l.tolerance.Over)+baseToleranceShare*l.tolerance.Slack)
 }
 
-// rate is how many tokens a second a bucket gets.
+// rate returns the refill rate of a bucket in tokens a second.
 func (l *Ledger) rate(limit Limit) float64 {
-	rate := limit.Rate * (1 + granted*l.tolerance.Over)
+	rate := limit.Rate * (1 + baseToleranceShare*l.tolerance.Over)
 	if l.tolerance.Window > 0 {
-		rate += steady * l.tolerance.Slack / l.tolerance.Window.Seconds()
+		rate += steadySlackShare * l.tolerance.Slack / l.tolerance.Window.Seconds()
 	}
 	return rate
 }
 
-func (l *Ledger) fill(held *bucket, now time.Time) {
-	full := l.capacity(held.limit)
-	if passed := now.Sub(held.at); passed > 0 {
-		held.level = min(full, held.level+passed.Seconds()*l.rate(held.limit))
-		held.at = now
+func (l *Ledger) refill(b *bucket, now time.Time) {
+	full := l.capacity(b.limit)
+	if passed := now.Sub(b.updatedAt); passed > 0 {
+		b.level = min(full, b.level+passed.Seconds()*l.rate(b.limit))
+		b.updatedAt = now
 	}
-	// Both together never hold more than a bucket does.
-	held.withheld = min(held.withheld, full-held.level)
-	if held.withheld > 0 && !now.Before(held.release) {
-		held.level, held.withheld = held.level+held.withheld, 0
+	// The level and the withheld tokens together never exceed the capacity.
+	b.withheld = min(b.withheld, full-b.level)
+	if b.withheld > 0 && !now.Before(b.releaseAt) {
+		b.level, b.withheld = b.level+b.withheld, 0
 	}
 }
 
-// Message is what a router reports and asks for.
+// Message is a router's report and token request.
 type Message struct {
-	// Router is its name, Sequence rises with each new message of one start.
+	// Router is the router's name. Sequence increases with each new message of one process.
 	Router   string `json:"router"`
 	Sequence uint64 `json:"sequence"`
-	// Spent are the requests that passed unasked, Wanted those that wait for a token.
+	// Spent counts the requests admitted without a token, Wanted those waiting for one.
 	Spent  map[string]int `json:"spent,omitempty"`
 	Wanted map[string]int `json:"wanted,omitempty"`
 }
 
-// Grant is the answer to what was wanted for one tenant.
+// Grant is the reply to a token request for one tenant.
 type Grant struct {
 	// Granted is how many of the requests may pass.
 	Granted int `json:"granted"`
-	// Next is after how long there is another token; 0 if all were granted.
+	// Next is the time until another token is available; 0 if all were granted.
 	Next time.Duration `json:"next,omitempty"`
 }
 
-// Reply answers a message.
+// Reply is the reply to a message.
 type Reply struct {
 	Grants map[string]Grant `json:"grants,omitempty"`
-	// Metered says of each tenant with a limit that the message names whether it is metered.
+	// Metered says, for each tenant with a limit that the message names, whether it is
+	// metered.
 	Metered map[string]bool `json:"metered,omitempty"`
 }
 
-// Take takes a message in. A tenant without a limit gets all that it wants.
+// Take processes a message. A tenant without a limit gets all the tokens that it requests.
 func (l *Ledger) Take(now time.Time, message Message) Reply {
-	if last, known := l.reports[message.Router]; !known || message.Sequence > last {
-		if !known && len(l.reports) >= maxReporters {
-			clear(l.reports)
+	if last, known := l.lastSequences[message.Router]; !known || message.Sequence > last {
+		if !known && len(l.lastSequences) >= maxReporters {
+			clear(l.lastSequences)
 		}
-		l.reports[message.Router] = message.Sequence
+		l.lastSequences[message.Router] = message.Sequence
 		for name, count := range message.Spent {
 			if held, limited := l.buckets[name]; limited && count > 0 {
 				l.spend(held, now, count)
@@ -200,11 +204,11 @@
 	for name, wanted := range message.Wanted {
 		reply.Grants[name] = l.grant(now, name, wanted)
 	}
-	reply.Metered = l.meteredOf(message)
+	reply.Metered = l.meteredFor(message)
 	return reply
 }
 
-func (l *Ledger) meteredOf(message Message) map[string]bool {
+func (l *Ledger) meteredFor(message Message) map[string]bool {
 	metered := make(map[string]bool, len(message.Spent)+len(message.Wanted))
 	for _, named := range []map[string]int{message.Spent, message.Wanted} {
 		for name := range named {
@@ -216,54 +220,53 @@
 	return metered
 }
 
-// spend takes requests that passed unasked out of a bucket. The debt of one that goes below
-// zero is paid within a window: what was sent before counts in no later one, so that a longer
-// debt would keep the tenant from what it may send and make up for nothing.
-func (l *Ledger) spend(held *bucket, now time.Time, count int) {
-	l.fill(held, now)
-	held.level = max(held.level-float64(count), min(held.level, -l.rate(held.limit)*l.tolerance.Window.Seconds()))
-	held.spent += uint64(count)
-	l.meter(held, now)
+// spend takes requests that were admitted without a token out of a bucket. The debt is limited
+// to what one window refills: requests from before that count in no later window, so a larger
+// debt would only refuse requests that are within the limit.
+func (l *Ledger) spend(b *bucket, now time.Time, count int) {
+	l.refill(b, now)
+	b.level = max(b.level-float64(count), min(b.level, -l.rate(b.limit)*l.tolerance.Window.Seconds()))
+	b.spent += uint64(count)
+	l.updateMetering(b, now)
 }
 
 func (l *Ledger) grant(now time.Time, name string, wanted int) Grant {
-	held, limited := l.buckets[name]
+	b, limited := l.buckets[name]
 	if !limited || wanted <= 0 {
 		return Grant{Granted: max(0, wanted)}
 	}
-	l.fill(held, now)
-	given := Grant{Granted: min(wanted, max(0, int(held.level)))}
-	held.level -= float64(given.Granted)
-	held.spent += uint64(given.Granted)
-	held.refused += uint64(wanted - given.Granted)
-	if given.Granted < wanted {
-		given.Next = time.Duration((1 - held.level) / l.rate(held.limit) * float64(time.Second))
+	l.refill(b, now)
+	result := Grant{Granted: min(wanted, max(0, int(b.level)))}
+	b.level -= float64(result.Granted)
+	b.spent += uint64(result.Granted)
+	b.refused += uint64(wanted - result.Granted)
+	if result.Granted < wanted {
+		result.Next = time.Duration((1 - b.level) / l.rate(b.limit) * float64(time.Second))
 	}
-	l.meter(held, now)
-	return given
+	l.updateMetering(b, now)
+	return result
 }
 
-// meter decides whether a tenant is metered.
-func (l *Ledger) meter(held *bucket, now time.Time) {
-	capacity := l.capacity(held.limit)
-	least := meteredBelow(capacity, l.rate(held.limit))
+// updateMetering decides whether a tenant is metered.
+func (l *Ledger) updateMetering(b *bucket, now time.Time) {
+	capacity := l.capacity(b.limit)
+	threshold := meterThreshold(capacity, l.rate(b.limit))
 	switch {
-	case !held.metered && held.level < least:
-		held.metered, held.since = true, now
+	case !b.metered && b.level < threshold:
+		b.metered, b.meteringChangedAt = true, now
 		l.revision++
-	case held.metered && held.level > max(least, unmeterShare*capacity) && now.Sub(held.since) >= meterHold:
-		held.metered, held.since = false, now
+	case b.metered && b.level > max(threshold, unmeterShare*capacity) && now.Sub(b.meteringChangedAt) >= minMeterDuration:
+		b.metered, b.meteringChangedAt = false, now
 		l.revision++
 	}
 }
 
-// Metered returns the tenants that are metered, ordered by name, and the revision of that
-// list.
+// Metered returns the metered tenants, sorted by name, and the revision of that list.
 func (l *Ledger) Metered(now time.Time) ([]string, uint64) {
 	var names []string
-	for name, held := range l.buckets {
-		l.fill(held, now)
-		if l.meter(held, now); held.metered {
+	for name, b := range l.buckets {
+		l.refill(b, now)
+		if l.updateMetering(b, now); b.metered {
 			names = append(names, name)
 		}
 	}
@@ -271,38 +274,38 @@
 	return names, l.revision
 }
 
-// Revision rises whenever the metered tenants change.
+// Revision increases whenever the set of metered tenants changes.
 func (l *Ledger) Revision() uint64 { return l.revision }
 
 // Limited reports whether any tenant has a limit.
 func (l *Ledger) Limited() bool { return len(l.buckets) > 0 }
 
-// Usage is what a ledger knows of one tenant.
+// Usage is the state of one tenant in the ledger.
 type Usage struct {
 	Tenant string  `json:"tenant"`
 	Rate   float64 `json:"rate"`
 	Burst  float64 `json:"burst"`
-	// Tokens that are left; below zero while more was spent than allowed.
+	// Tokens left in the bucket; negative while more was spent than allowed.
 	Tokens  float64 `json:"tokens"`
 	Metered bool    `json:"metered"`
-	// Spent and Refused are requests since the ledger began.
+	// Spent and Refused count requests since the ledger was created.
 	Spent   uint64 `json:"spent"`
 	Refused uint64 `json:"refused"`
 }
 
-// Usage returns what is known of every tenant with a limit, those that were refused most
+// Usage returns the usage of every tenant with a limit, those with the most refused requests
 // first.
 func (l *Ledger) Usage(now time.Time) []Usage {
-	used := make([]Usage, 0, len(l.buckets))
-	for name, held := range l.buckets {
-		l.fill(held, now)
-		used = append(used, Usage{
-			Tenant: name, Rate: held.limit.Rate, Burst: held.limit.Burst, Tokens: held.level,
-			Metered: held.metered, Spent: held.spent, Refused: held.refused,
+	usages := make([]Usage, 0, len(l.buckets))
+	for name, b := range l.buckets {
+		l.refill(b, now)
+		usages = append(usages, Usage{
+			Tenant: name, Rate: b.limit.Rate, Burst: b.limit.Burst, Tokens: b.level,
+			Metered: b.metered, Spent: b.spent, Refused: b.refused,
 		})
 	}
-	slices.SortFunc(used, compareUsage)
-	return used
+	slices.SortFunc(usages, compareUsage)
+	return usages
 }
 
 func compareUsage(a, b Usage) int {
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -17,23 +17,23 @@
 	return limits
 }
 
-// Thresholds of metering.
+// Thresholds to start metering.
 const (
-	// meterAhead is how long before its bucket is empty, at the limit's rate, a tenant is
-	// metered; meterLeast is the least number of tokens at which it is.
-	meterAhead = 250 * time.Millisecond
-	meterLeast = 2.0
+	// meterLeadTime is how long before its bucket would be empty, at the limit's rate, a
+	// tenant is metered; minMeterTokens is added to the tokens of that time.
+	meterLeadTime  = 250 * time.Millisecond
+	minMeterTokens = 2.0
 )
 
-// meteredBelow is the level of a bucket of a capacity and a rate below which its tenant is
-// metered.
-func meteredBelow(capacity, rate float64) float64 {
-	return min(capacity/2, meterLeast+meterAhead.Seconds()*rate)
+// meterThreshold returns the level below which a tenant is metered, for a bucket of a capacity
+// and a rate.
+func meterThreshold(capacity, rate float64) float64 {
+	return min(capacity/2, minMeterTokens+meterLeadTime.Seconds()*rate)
 }
 
-// credit is how many requests one of a number of routers lets pass before the ledger has
-// confirmed that it knows of them: all routers together the tokens that are left when a tenant
-// is metered, and each one at least.
-func (l Limit) credit(routers int) int {
-	return max(1, int(meteredBelow(l.Burst, l.Rate))/routers)
+// unconfirmedLimit returns how many requests each router admits before the ledger has
+// acknowledged them: all routers together the tokens left when metering starts, but at least
+// one each.
+func (l Limit) unconfirmedLimit(routers int) int {
+	return max(1, int(meterThreshold(l.Burst, l.Rate))/routers)
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -19,38 +19,40 @@
 // Times of the simulated fleet.
 const (
 	step = 5 * time.Millisecond
-	// reportTimeout is how long a report that does not come through takes to fail.
+	// reportTimeout is how long it takes until a report to an unreachable ledger fails.
 	reportTimeout = 250 * time.Millisecond
-	// followTimeout is how long a router takes to notice that it hears no directory node.
-	followTimeout = 1100 * time.Millisecond
-	// window is the length of those in which requests are counted.
+	// detectionTimeout is how long a router takes to notice that no directory node is
+	// reachable.
+	detectionTimeout = 1100 * time.Millisecond
+	// window is the length of the windows in which requests are counted.
 	window = 5 * time.Second
 )
 
 var tolerance = quota.Tolerance{Over: 0.1, Slack: 20, Window: window}
 
-// fleet is routers that share the limit of one tenant, with delays between them and the
+// fleet simulates routers that share the limit of one tenant, with delays between them and the
 // ledger.
 type fleet struct {
 	random *rand.Rand
 	limit  quota.Limit
 	gates  []*quota.Gate
 	ledger *quota.Ledger
-	// reportDelay and newsDelay are those of reports and of what is metered.
-	reportDelay, newsDelay time.Duration
-	// cut are the routers that reach no ledger; deaf until then none does.
-	cut  int
-	deaf time.Time
+	// reportDelay is the delay of reports, publishDelay that of the list of metered tenants.
+	reportDelay, publishDelay time.Duration
+	// partitioned is the number of routers that can't reach the ledger; no router can before
+	// unreachableUntil.
+	partitioned      int
+	unreachableUntil time.Time
 
 	now      time.Time
 	sequence uint64
 	revision uint64
-	due      []event
+	events   []event
 	passed   []time.Time
 	refused  int
 	offered  int
-	// asked are requests that waited for a token.
-	asked int
+	// tokenRequests counts requests that waited for a token.
+	tokenRequests int
 }
 
 type event struct {
@@ -63,7 +65,7 @@
 func newFleet(seed uint64, routers int, limit quota.Limit) *fleet {
 	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 1)), limit: limit, now: start,
-		reportDelay: 15 * time.Millisecond, newsDelay: 150 * time.Millisecond,
+		reportDelay: 15 * time.Millisecond, publishDelay: 150 * time.Millisecond,
 	}
 	for number := range routers {
 		gate := quota.NewGate(seed + uint64(number))
@@ -71,29 +73,29 @@
 		gate.SetRouters(routers)
 		f.gates = append(f.gates, gate)
 	}
-	f.lead()
+	f.startLedger()
 	return f
 }
 
-// lead begins a ledger that knows nothing, as a new leader's.
-func (f *fleet) lead() {
+// startLedger starts a ledger without any state, as a new leader does.
+func (f *fleet) startLedger() {
 	f.ledger = quota.NewLedger(tolerance)
 	f.ledger.SetLimits(f.now, map[string]quota.Limit{tenant: f.limit})
 	f.revision = math.MaxUint64
 }
 
 func (f *fleet) after(delay time.Duration, run func()) {
-	f.due = append(f.due, event{f.now.Add(delay), run})
+	f.events = append(f.events, event{f.now.Add(delay), run})
 }
 
-// play lets requests come at a rate for a time.
-func (f *fleet) play(rate float64, over time.Duration) {
+// run simulates requests at a rate for a time.
+func (f *fleet) run(rate float64, over time.Duration) {
 	for end := f.now.Add(over); f.now.Before(end); f.now = f.now.Add(step) {
-		pending := f.due
-		f.due = nil
+		pending := f.events
+		f.events = nil
 		for _, one := range pending {
 			if one.at.After(f.now) {
-				f.due = append(f.due, one)
+				f.events = append(f.events, one)
 			} else {
 				one.run()
 			}
@@ -104,7 +106,7 @@
 		for number := range f.gates {
 			f.report(number)
 		}
-		f.tell()
+		f.publish()
 	}
 }
 
@@ -116,7 +118,9 @@
 	return count
 }
 
-func (f *fleet) reaches(number int) bool { return number >= f.cut && !f.now.Before(f.deaf) }
+func (f *fleet) reaches(number int) bool {
+	return number >= f.partitioned && !f.now.Before(f.unreachableUntil)
+}
 
 func (f *fleet) arrive(number int) {
 	f.offered++
@@ -126,7 +130,7 @@
 	case quota.Refuse:
 		f.refused++
 	case quota.Ask:
-		f.asked++
+		f.tokenRequests++
 		f.send(number, nil, map[string]int{tenant: 1})
 	}
 }
@@ -155,14 +159,14 @@
 	})
 }
 
-// tell has all routers that hear it know who is metered.
-func (f *fleet) tell() {
+// publish sends the metered tenants to all reachable routers after a delay.
+func (f *fleet) publish() {
 	names, revision := f.ledger.Metered(f.now)
 	if revision == f.revision {
 		return
 	}
 	f.revision = revision
-	f.after(f.newsDelay, func() {
+	f.after(f.publishDelay, func() {
 		for number, gate := range f.gates {
 			if f.reaches(number) {
 				gate.SetMetered(names)
@@ -171,68 +175,68 @@
 	})
 }
 
-// most returns the most requests that passed in any window.
-func (f *fleet) most() int {
+// maxInWindow returns the most requests admitted in any window.
+func (f *fleet) maxInWindow() int {
 	slices.SortFunc(f.passed, time.Time.Compare)
-	most, first := 0, 0
+	highest, first := 0, 0
 	for last, at := range f.passed {
 		for at.Sub(f.passed[first]) > window {
 			first++
 		}
-		most = max(most, last-first+1)
+		highest = max(highest, last-first+1)
 	}
-	return most
+	return highest
 }
 
 func (f *fleet) allowed() float64 {
 	return (f.limit.Rate*window.Seconds()+f.limit.Burst)*(1+tolerance.Over) + tolerance.Slack
 }
 
-// TestNoWindowExceedsTheLimit has a tenant send up to eight times its usual, from calm to
-// that and back, over some hundred routers, beside a change of the leader.
+// TestNoWindowExceedsTheLimit has a tenant send up to eight times its usual rate, with calm
+// phases before and after, through up to 120 routers, also across a change of the leader.
 func TestNoWindowExceedsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		usual := rapid.Float64Range(0.3, 15).Draw(t, "usual")
 		limit := quota.Limit{Rate: 1.6 * usual, Burst: math.Ceil(1.6 * usual)}
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 120).Draw(t, "routers"), limit)
-		hot := usual * rapid.Float64Range(1, 8).Draw(t, "times")
-		f.play(usual, 3*time.Second)
-		f.play(hot, 4*time.Second)
+		peak := usual * rapid.Float64Range(1, 8).Draw(t, "times")
+		f.run(usual, 3*time.Second)
+		f.run(peak, 4*time.Second)
 		if rapid.Bool().Draw(t, "leader changes") {
-			f.deaf = f.now.Add(500 * time.Millisecond)
-			f.lead()
+			f.unreachableUntil = f.now.Add(500 * time.Millisecond)
+			f.startLedger()
 		}
-		f.play(hot, 4*time.Second)
-		f.play(usual, 2*time.Second)
-		require.LessOrEqual(t, float64(f.most()), f.allowed())
+		f.run(peak, 4*time.Second)
+		f.run(usual, 2*time.Second)
+		require.LessOrEqual(t, float64(f.maxInWindow()), f.allowed())
 	})
 }
 
-// TestNoWindowExceedsTheLimitWhateverTheDelays has reports and news take up to seconds, as on
-// machines that are busy. What passed beyond a limit was its tenant's pace times those delays:
-// 40 to 145 of 200 requests at a limit of 30, of which 62 within the 15 ms between the ledger's
-// metering of the tenant and the news of it at the routers, and 38 of them after a router's own
-// report had been answered without a word of it. Now a router that has not had its requests
-// confirmed asks for tokens, and the answer to a report says who is metered.
+// TestNoWindowExceedsTheLimitWhateverTheDelays delays reports and notifications by up to
+// seconds, as on busy machines. Requests admitted beyond a limit were once the tenant's rate
+// times those delays: 40 to 145 of 200 at a limit of 30, of which 62 within the 15 ms between
+// the start of metering and the notification of the routers, and 38 after a router's own
+// report had been answered without saying so. Since then a router with unacknowledged requests
+// requests tokens, and the reply to a report says which tenants are metered.
 func TestNoWindowExceedsTheLimitWhateverTheDelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		usual := rapid.Float64Range(5, 15).Draw(t, "usual")
 		limit := quota.Limit{Rate: 1.6 * usual, Burst: math.Ceil(1.6 * usual)}
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 5).Draw(t, "routers"), limit)
 		f.reportDelay = time.Duration(rapid.IntRange(1, 2000).Draw(t, "report ms")) * time.Millisecond
-		f.newsDelay = time.Duration(rapid.IntRange(1, 3000).Draw(t, "news ms")) * time.Millisecond
-		hot := usual * rapid.Float64Range(1, 40).Draw(t, "times")
-		f.play(usual, 3*time.Second)
-		f.play(hot, 8*time.Second)
-		f.play(usual, 4*time.Second)
-		f.play(hot, 4*time.Second)
-		require.LessOrEqual(t, float64(f.most()), f.allowed())
+		f.publishDelay = time.Duration(rapid.IntRange(1, 3000).Draw(t, "publish ms")) * time.Millisecond
+		peak := usual * rapid.Float64Range(1, 40).Draw(t, "times")
+		f.run(usual, 3*time.Second)
+		f.run(peak, 8*time.Second)
+		f.run(usual, 4*time.Second)
+		f.run(peak, 4*time.Second)
+		require.LessOrEqual(t, float64(f.maxInWindow()), f.allowed())
 	})
 }
 
-// TestAnAnswerToAReportSaysWhoIsMetered has a router spend a limit by itself: it is told so by
-// the answer, and not only by the news that all routers get.
-func TestAnAnswerToAReportSaysWhoIsMetered(t *testing.T) {
+// TestReportReplyNamesMeteredTenants has one router spend a limit: the reply to its report
+// must say that the tenant is metered, before any notification.
+func TestReportReplyNamesMeteredTenants(t *testing.T) {
 	limits := map[string]quota.Limit{tenant: {Rate: 1, Burst: 30}}
 	ledger, gate := quota.NewLedger(tolerance), quota.NewGate(1)
 	ledger.SetLimits(start, limits)
@@ -249,27 +253,29 @@
 	}
 	require.Less(t, passed, 30)
 	reply := ledger.Take(start.Add(time.Hour), quota.Message{Router: "a", Sequence: 200, Wanted: map[string]int{tenant: 1, "other": 1}})
-	require.Equal(t, map[string]bool{tenant: false}, reply.Metered, "another has no limit")
+	require.Equal(t, map[string]bool{tenant: false}, reply.Metered, "the other tenant has no limit")
 	gate.Reached(start, nil, reply)
 	decision, _ := gate.Admit(start, tenant)
 	require.Equal(t, quota.Pass, decision)
 }
 
-// TestNextToNothingIsRefusedBelowTheLimit has tenants of all sizes send what they usually do.
+// TestNextToNothingIsRefusedBelowTheLimit has tenants of several sizes send at their usual
+// rate.
 func TestNextToNothingIsRefusedBelowTheLimit(t *testing.T) {
 	offered, refused := 0, 0
 	for seed := range uint64(40) {
 		usual := 0.3 + float64(seed)/3
 		f := newFleet(seed, 66, quota.Limit{Rate: 1.6 * usual, Burst: math.Ceil(1.6 * usual)})
-		f.play(usual, 30*time.Second)
+		f.run(usual, 30*time.Second)
 		offered, refused = offered+f.offered, refused+f.refused
 	}
 	require.Greater(t, offered, 1000)
 	require.LessOrEqual(t, float64(refused), 0.005*float64(offered), "of %d", offered)
 }
 
-// TestNoMoreRequestsWaitForATokenInALargerFleet counts those that do of tenants below their
-// limit: each costs its client a round trip to the leader, and the leader a message.
+// TestNoMoreRequestsWaitForATokenInALargerFleet counts requests of tenants below their limit
+// that wait for a token: each costs its client a round trip to the leader and the leader a
+// message.
 func TestNoMoreRequestsWaitForATokenInALargerFleet(t *testing.T) {
 	alone := 0
 	for _, routers := range []int{1, 66, 132, 1000} {
@@ -277,8 +283,8 @@
 		for seed := range uint64(10) {
 			usual := 0.3 + float64(seed)
 			f := newFleet(seed, routers, quota.Limit{Rate: 1.6 * usual, Burst: math.Ceil(1.6 * usual)})
-			f.play(usual, 10*time.Second)
-			offered, asked = offered+f.offered, asked+f.asked
+			f.run(usual, 10*time.Second)
+			offered, asked = offered+f.offered, asked+f.tokenRequests
 		}
 		if routers == 1 {
 			alone = asked
@@ -287,43 +293,43 @@
 	}
 }
 
-// TestRoutersWithoutALeaderSpendTheirSharesOnly cuts some routers off while a tenant sends
-// many times its usual to all of them.
+// TestRoutersWithoutALeaderSpendTheirSharesOnly isolates some routers while a tenant sends
+// many times its usual rate to all of them.
 func TestRoutersWithoutALeaderSpendTheirSharesOnly(t *testing.T) {
 	for _, cut := range []int{1, 13, 20, 66} {
 		f := newFleet(uint64(cut), 66, quota.Limit{Rate: 16, Burst: 16})
-		f.play(10, 2*time.Second)
-		f.cut = cut
-		f.play(10, followTimeout)
+		f.run(10, 2*time.Second)
+		f.partitioned = cut
+		f.run(10, detectionTimeout)
 		for _, gate := range f.gates[:cut] {
 			gate.Lose()
 		}
-		f.play(70, 6*time.Second)
-		require.LessOrEqual(t, float64(f.most()), f.allowed(), "%d cut off", cut)
+		f.run(70, 6*time.Second)
+		require.LessOrEqual(t, float64(f.maxInWindow()), f.allowed(), "%d isolated", cut)
 	}
 }
 
-// TestALowerLimitHoldsAtOnce has the limit fall far below what a tenant sends.
+// TestALowerLimitHoldsAtOnce lowers the limit far below what a tenant sends.
 func TestALowerLimitHoldsAtOnce(t *testing.T) {
 	f := newFleet(7, 66, quota.Limit{Rate: 16, Burst: 16})
-	f.play(10, 5*time.Second)
+	f.run(10, 5*time.Second)
 	f.limit = quota.Limit{Rate: 2, Burst: 2}
 	f.ledger.SetLimits(f.now, map[string]quota.Limit{tenant: f.limit})
 	for _, gate := range f.gates {
 		gate.SetLimits(map[string]quota.Limit{tenant: f.limit})
 	}
-	f.play(10, time.Second)
+	f.run(10, time.Second)
 	f.passed = nil
-	f.play(10, 10*time.Second)
-	require.LessOrEqual(t, float64(f.most()), f.allowed())
+	f.run(10, 10*time.Second)
+	require.LessOrEqual(t, float64(f.maxInWindow()), f.allowed())
 	require.GreaterOrEqual(t, len(f.passed), 15, "the lower limit is still served")
 }
 
 // TestADebtIsPaidWithinAWindow has a tenant send many times its limit before any router knows,
-// as on a machine that is busy: the reports of it take the bucket far below zero, and the
-// tenant was then refused for as long as its rate took to pay all of it back, 24 to 91 s of a
-// limit of one a second (a ledger's level of -63 and "next 39.7 s" were traced). What was sent
-// longer than a window ago counts in no later window.
+// as on a busy machine. The reports take the bucket far below zero, and the tenant was once
+// refused until its rate had paid off the whole debt: 24 to 91 s at a limit of one a second (a
+// level of -63 and a next token after 39.7 s were traced). Requests sent more than a window
+// ago count in no later window.
 func TestADebtIsPaidWithinAWindow(t *testing.T) {
 	limit := quota.Limit{Rate: 1, Burst: 30}
 	ledger := quota.NewLedger(tolerance)
@@ -335,16 +341,16 @@
 	}
 	given := ledger.Take(start, quota.Message{Router: "b", Sequence: 1, Wanted: wanted}).Grants[tenant]
 	require.Zero(t, given.Granted)
-	require.LessOrEqual(t, given.Next, window+time.Second, "a window, and a token at the limit's rate")
+	require.LessOrEqual(t, given.Next, window+time.Second, "a window, and the time of one token at the limit's rate")
 	early := ledger.Take(start.Add(window-time.Millisecond), quota.Message{Router: "b", Sequence: 2, Wanted: wanted})
-	require.Zero(t, early.Grants[tenant].Granted, "the window that has the debt in it gets nothing more")
+	require.Zero(t, early.Grants[tenant].Granted, "no token in the window of the debt")
 	later := ledger.Take(start.Add(given.Next+time.Millisecond), quota.Message{Router: "b", Sequence: 3, Wanted: wanted})
 	require.Equal(t, 1, later.Grants[tenant].Granted)
 }
 
-// TestANewTenantMayBurstAtOnce adds a tenant to a document that is in force. Its bucket began
-// with 3 of its 31 tokens, as after a change of the leader, so that its first requests were
-// refused far below its limit as soon as routers heard that it is metered.
+// TestANewTenantMayBurstAtOnce adds a tenant to a configuration in effect. Its bucket once
+// started with 3 of its 31 tokens, as after a change of the leader, so that its first requests
+// were refused far below its limit as soon as routers were notified that it is metered.
 func TestANewTenantMayBurstAtOnce(t *testing.T) {
 	ask := func(ledger *quota.Ledger, at time.Time) int {
 		return ledger.Take(at, quota.Message{Router: "a", Wanted: map[string]int{tenant: 100}}).Grants[tenant].Granted
@@ -360,8 +366,8 @@
 
 	after := quota.NewLedger(tolerance)
 	after.SetLimits(start, limits)
-	require.Less(t, ask(after, start), 10, "the ledger before may have granted all")
-	require.GreaterOrEqual(t, ask(after, start.Add(window)), 30, "in a window that is over")
+	require.Less(t, ask(after, start), 10, "the previous ledger may have granted the whole limit")
+	require.GreaterOrEqual(t, ask(after, start.Add(window)), 30, "after the window")
 }
 
 func TestAReportThatIsSentAgainCountsOnce(t *testing.T) {
@@ -391,7 +397,7 @@
 	require.Equal(t, quota.Ask, decision)
 }
 
-// BenchmarkAdmit decides about a request among 10,000 tenants.
+// BenchmarkAdmit measures the decision about a request among 10,000 tenants.
 func BenchmarkAdmit(b *testing.B) {
 	limits := make(map[string]quota.Limit)
 	for number := range 10_000 {
