--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -14,7 +14,7 @@
 const (
 	// Pass admits the request.
 	Pass Decision = iota
-	// RequestToken has the request wait for a token from the ledger.
+	// Ask has the request wait for a token from the ledger.
 	Ask
 	// Refuse rejects the request: the tenant has used up its limit.
 	Refuse
@@ -131,7 +131,7 @@
 	return Pass, 0
 }
 
-// TakeUnreported returns what is to be reported and moves it to the unacknowledged requests;
+// TakeSpent returns what is to be reported and moves it to the unacknowledged requests;
 // nil if there is nothing. ReportFailed reverses that if the report fails.
 func (g *Gate) TakeSpent() map[string]int {
 	if len(g.unreported) == 0 {
