--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -8,43 +8,43 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ChildID names one run of a child. A restarted process is another child: the
-// lease of the run before it may not have lapsed yet.
+// ChildID identifies one run of a child. A restarted process is another child: the lease of
+// its earlier run may not have expired yet.
 type ChildID struct {
 	Name string
 	Boot uint64
 }
 
-// ErrRevisionReported is returned for a grant below a revision that was
-// already reported in force.
-var ErrRevisionReported = errors.New("a higher revision was already reported in force")
+// ErrRevisionReported is returned for a grant below a revision that was already reported in
+// effect.
+var ErrRevisionReported = errors.New("a higher revision was already reported in effect")
 
-// ErrChildLeft is returned for a grant to a child that gave its lease back.
-var ErrChildLeft = errors.New("the child gave its lease back")
+// ErrChildReleased is returned for a grant to a child that released its lease.
+var ErrChildReleased = errors.New("the child released its lease")
 
 // ErrNothingInstalled is returned while there is no revision to grant.
 var ErrNothingInstalled = errors.New("no revision is installed")
 
-// Grantor tracks the leases granted to direct children and derives the highest
-// revision that is surely in force below. It is not safe for concurrent use.
+// Grantor tracks the leases granted to direct children and derives the highest revision that
+// is surely in effect below it. It is not safe for concurrent use.
 type Grantor struct {
 	installed    uint64
 	reported     uint64
 	unknownUntil time.Time
 	children     map[ChildID]*child
-	// left remembers children that gave their lease back for as long as a call
-	// of theirs may still be under way.
-	left map[ChildID]time.Time
+	// departed remembers children that released their lease, for as long as a call of theirs
+	// may still be in flight.
+	departed map[ChildID]time.Time
 }
 
-// child is what is known of one run of a child.
+// child is the state of one run of a child.
 type child struct {
-	// acknowledged is the lowest revision that the child says it, and whoever
-	// it granted a lease to, admits under.
+	// acknowledged is the revision that the child last reported as the lowest under which it
+	// and the holders below it admit work.
 	acknowledged uint64
-	// outstanding are the grants that may still be valid, lowest revision first
-	// and at most one for each. A relay's grants may end earlier than those
-	// before, when its own lease was not renewed in between.
+	// outstanding are the grants that may still be valid, lowest revision first and at most
+	// one for each. A relay's grant may end earlier than the ones before it if the relay's own
+	// lease was not renewed in between.
 	outstanding []outstanding
 	lastSeen    time.Time
 }
@@ -58,31 +58,30 @@
 type ChildStatus struct {
 	ID           ChildID
 	Acknowledged uint64
-	// Until is when the child's lease has surely lapsed, by the local clock.
+	// Until is when the child's lease has surely expired, by the local clock.
 	Until    time.Time
 	LastSeen time.Time
 }
 
-// NewGrantor returns a grantor without children. Until the given time, leases
-// that an earlier grantor gave may still be valid, so nothing is reported in
-// force. A new leader passes the end of one whole lease after its election, a
-// relay the zero time, because its parent still counts its earlier run.
+// NewGrantor returns a grantor without children. Until the given time, leases of an earlier
+// grantor may still be valid, so no revision is reported in effect. A new leader passes a time
+// one whole lease after its election; a relay passes the zero time, because its parent still
+// tracks its earlier run.
 func NewGrantor(unknownUntil time.Time) *Grantor {
 	return &Grantor{
 		unknownUntil: unknownUntil,
 		children:     make(map[ChildID]*child),
-		left:         make(map[ChildID]time.Time),
+		departed:     make(map[ChildID]time.Time),
 	}
 }
 
-// Install notes the newest accepted revision known here. Lower ones are
-// ignored.
+// Install sets the newest accepted revision known here. Lower ones are ignored.
 func (g *Grantor) Install(revision uint64) { g.installed = max(g.installed, revision) }
 
 // Installed returns the revision that grants are for.
 func (g *Grantor) Installed() uint64 { return g.installed }
 
-// Acknowledge notes what a child says about itself and its subtree.
+// Acknowledge records the revision that a child reports for itself and its subtree.
 func (g *Grantor) Acknowledge(now time.Time, id ChildID, revision uint64) {
 	known, found := g.children[id]
 	if !found {
@@ -93,8 +92,8 @@
 	known.prune(now)
 }
 
-// Acknowledged returns the revision that a child acknowledged last, and whether
-// the child holds or held a lease from here.
+// Acknowledged returns the revision that a child acknowledged last, and whether the child
+// holds or held a lease from here.
 func (g *Grantor) Acknowledged(id ChildID) (uint64, bool) {
 	known, found := g.children[id]
 	if !found {
@@ -103,8 +102,8 @@
 	return known.acknowledged, true
 }
 
-// Grant records a lease for the installed revision and returns that revision.
-// The grant must not be sent when an error is returned.
+// Grant records a lease for the installed revision and returns that revision. If it returns an
+// error, no grant may be sent.
 func (g *Grantor) Grant(now time.Time, id ChildID, duration time.Duration) (uint64, error) {
 	if g.installed == 0 {
 		return 0, ErrNothingInstalled
@@ -112,8 +111,8 @@
 	if g.installed < g.reported {
 		return 0, errors.Wrapf(ErrRevisionReported, "revision %d, reported %d", g.installed, g.reported)
 	}
-	if _, gone := g.left[id]; gone {
-		return 0, ErrChildLeft
+	if _, departed := g.departed[id]; departed {
+		return 0, ErrChildReleased
 	}
 	known, found := g.children[id]
 	if !found {
@@ -126,49 +125,49 @@
 	return g.installed, nil
 }
 
-// Leave forgets a child that promised to admit nothing more. Grants to it are
-// refused from now on, because a call sent before may arrive after.
+// Leave removes a child that promised to admit nothing more. Grants to it are refused from now
+// on, because a call sent before may arrive after.
 func (g *Grantor) Leave(now time.Time, id ChildID, remember time.Duration) {
 	delete(g.children, id)
-	g.left[id] = now.Add(remember)
+	g.departed[id] = now.Add(remember)
 }
 
-// Expire forgets children whose lease has surely lapsed and returns them in
-// order of name and boot.
+// Expire removes children whose lease has surely expired and returns them sorted by name and
+// boot.
 func (g *Grantor) Expire(now time.Time) []ChildID {
-	var lapsed []ChildID
+	var expired []ChildID
 	for id, known := range g.children {
-		if known.lapsed(now) {
-			lapsed = append(lapsed, id)
+		if known.expired(now) {
+			expired = append(expired, id)
 			delete(g.children, id)
 		}
 	}
-	for id, until := range g.left {
+	for id, until := range g.departed {
 		if now.After(until) {
-			delete(g.left, id)
+			delete(g.departed, id)
 		}
 	}
-	slices.SortFunc(lapsed, compareChildren)
-	return lapsed
+	slices.SortFunc(expired, compareChildren)
+	return expired
 }
 
-// InForce returns the highest revision that every holder of a lease below, now
-// and from now on, admits work under at least. It never goes down.
+// InForce returns the highest revision such that every holder of a lease below admits work
+// only under that revision or a higher one, now and from now on. It never decreases.
 func (g *Grantor) InForce(now time.Time) uint64 {
 	if now.Before(g.unknownUntil) {
 		return g.reported
 	}
 	lowest := g.installed
 	for _, known := range g.children {
-		if !known.lapsed(now) {
-			lowest = min(lowest, known.floor(now))
+		if !known.expired(now) {
+			lowest = min(lowest, known.lowestRevision(now))
 		}
 	}
 	g.reported = max(g.reported, lowest)
 	return g.reported
 }
 
-// Children describes the children in order of name and boot.
+// Children describes the children, sorted by name and boot.
 func (g *Grantor) Children() []ChildStatus {
 	statuses := make([]ChildStatus, 0, len(g.children))
 	for id, known := range g.children {
@@ -186,7 +185,7 @@
 func (g *Grantor) Live(now time.Time) int {
 	live := 0
 	for _, known := range g.children {
-		if !known.lapsed(now) {
+		if !known.expired(now) {
 			live++
 		}
 	}
@@ -197,9 +196,9 @@
 	return cmp.Or(cmp.Compare(left.Name, right.Name), cmp.Compare(left.Boot, right.Boot))
 }
 
-// floor is the lowest revision that the child may admit under. What it admits
-// under by a grant of somebody else is counted there.
-func (c *child) floor(now time.Time) uint64 {
+// lowestRevision returns the lowest revision that the child may admit under. Work that it
+// admits under another grantor's grant is counted there.
+func (c *child) lowestRevision(now time.Time) uint64 {
 	for _, grant := range c.outstanding {
 		if now.Before(grant.until) {
 			return max(grant.revision, c.acknowledged)
@@ -219,8 +218,8 @@
 	c.outstanding = append(c.outstanding, outstanding{revision: revision, until: until})
 }
 
-// prune drops grants that lapsed, and those below what is acknowledged unless
-// they are the only ones: until then they tell when the child has lapsed.
+// prune drops expired grants, and those below the acknowledged revision unless no other is
+// left: the last one determines when the child's lease has expired.
 func (c *child) prune(now time.Time) {
 	for len(c.outstanding) > 1 {
 		oldest, next := c.outstanding[0], c.outstanding[1]
@@ -242,4 +241,4 @@
 	return latest
 }
 
-func (c *child) lapsed(now time.Time) bool { return !now.Before(c.until()) }
+func (c *child) expired(now time.Time) bool { return !now.Before(c.until()) }
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -2,27 +2,26 @@
 
 import "time"
 
-// Grant is a lease as its holder received it.
+// Grant is a lease as received by its holder.
 type Grant struct {
-	// Term of the leader that the lease comes from.
+	// Term is that of the leader that granted the lease.
 	Term uint64
-	// Revision that must be installed before the lease is taken.
+	// Revision must be installed before the lease is accepted.
 	Revision uint64
-	// SentAt is when the call that brought the grant was sent, by the holder's
-	// clock.
+	// SentAt is when the call for the grant was sent, by the holder's clock.
 	SentAt time.Time
-	// Duration is what the grantor granted; 0 grants nothing.
+	// Duration is the granted duration; 0 grants nothing.
 	Duration time.Duration
 }
 
-// Verdict says what a holder made of a grant.
+// Verdict is a holder's decision about a grant.
 type Verdict uint8
 
 // Verdicts on a grant.
 const (
-	// Taken means that the lease now lasts at least as long as the grant.
+	// Taken means that the grant was accepted: the lease now lasts at least as long.
 	Taken Verdict = iota + 1
-	// StaleTerm means that a leader of a later term was heard before.
+	// StaleTerm means that a higher term was received before.
 	StaleTerm
 	// StaleRevision means that a higher revision is installed already.
 	StaleRevision
@@ -42,16 +41,15 @@
 	return "unknown"
 }
 
-// Holder is a node's view of its own lease. The zero value holds none. It is
-// not safe for concurrent use.
+// Holder is a node's own lease. The zero value holds none. It is not safe for concurrent use.
 type Holder struct {
 	term     uint64
 	revision uint64
 	until    time.Time
 }
 
-// Install notes that a revision was installed. Revisions never go down; it
-// reports whether this one was higher than the one before.
+// Install records an installed revision and reports whether it was higher than the one before.
+// Lower ones are ignored.
 func (h *Holder) Install(revision uint64) bool {
 	if revision <= h.revision {
 		return false
@@ -60,8 +58,7 @@
 	return true
 }
 
-// Offer takes a grant if its term and revision allow it. The lease never gets
-// shorter by a grant.
+// Offer accepts a grant if its term and revision allow it. A grant never shortens the lease.
 func (h *Holder) Offer(grant Grant) Verdict {
 	switch {
 	case grant.Term < h.term:
@@ -83,22 +80,22 @@
 	return Taken
 }
 
-// Current reports whether a response of the term and revision may be used: it
-// is not older than what the holder knows.
+// Current reports whether a response with the term and revision may be used: neither is lower
+// than what the holder knows.
 func (h *Holder) Current(term, revision uint64) bool {
 	return term >= h.term && revision >= h.revision
 }
 
-// End gives the lease up.
+// End releases the lease.
 func (h *Holder) End() { h.until = time.Time{} }
 
 // Valid reports whether work may be admitted at a time.
 func (h *Holder) Valid(now time.Time) bool { return now.Before(h.until) }
 
-// Until returns the moment at which the lease ends; zero when there is none.
+// Until returns when the lease ends; zero if there is none.
 func (h *Holder) Until() time.Time { return h.until }
 
-// Term returns the highest term that was heard.
+// Term returns the highest term received.
 func (h *Holder) Term() uint64 { return h.term }
 
 // Revision returns the installed revision; 0 for none.
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -9,7 +9,7 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-func TestHolderIgnoresWhatIsOlder(t *testing.T) {
+func TestHolderIgnoresOlderGrants(t *testing.T) {
 	var holder Holder
 	grant := func(term, revision uint64, sentAt time.Time) Verdict {
 		return holder.Offer(Grant{Term: term, Revision: revision, SentAt: sentAt, Duration: DefaultDuration})
@@ -27,12 +27,12 @@
 	require.False(t, holder.Install(6))
 	require.Equal(t, Empty, holder.Offer(Grant{Term: 3, Revision: 7, SentAt: later}))
 	require.Equal(t, until, holder.Until())
-	require.Equal(t, Taken, grant(4, 7, epoch.Add(-time.Second)), "an older call never shortens the lease")
+	require.Equal(t, Taken, grant(4, 7, epoch.Add(-time.Second)), "a grant for an older call never shortens the lease")
 	require.Equal(t, until, holder.Until())
 	require.False(t, holder.Valid(until))
 }
 
-func TestChildThatLeftIsNotWaitedForAndGetsNoMoreLeases(t *testing.T) {
+func TestReleasedChildIsIgnoredAndGetsNoMoreLeases(t *testing.T) {
 	grantor := NewGrantor(time.Time{})
 	child := ChildID{Name: "router-1", Boot: 1}
 	grantor.Install(1)
@@ -43,7 +43,7 @@
 	grantor.Leave(epoch, child, time.Minute)
 	require.EqualValues(t, 2, grantor.InForce(epoch))
 	_, err = grantor.Grant(epoch, child, DefaultDuration)
-	require.ErrorIs(t, err, ErrChildLeft, "a call that was overtaken")
+	require.ErrorIs(t, err, ErrChildReleased, "a call sent before the release")
 	_, err = grantor.Grant(epoch, ChildID{Name: "router-1", Boot: 2}, DefaultDuration)
 	require.NoError(t, err)
 }
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -9,12 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// The model runs voters, relays and routers on clocks that drift by as much as
-// is allowed. Calls and responses are delayed, lost and reordered at will;
-// leaders change, also between a confirmation and the grant that it allows;
-// nodes restart and change their upstream. Whatever happens, no router may
-// admit work under a revision lower than one that any voter, deposed ones
-// included, has reported in force.
+// The model runs voters, relays and routers on clocks that drift by as much as is allowed.
+// Calls and responses are delayed, lost and reordered at random; leaders change, also between
+// a confirmation of leadership and the grant that it allows; nodes restart and change their
+// upstream. No router may ever admit work under a revision lower than one that any voter,
+// including former leaders, has reported in effect.
 
 const (
 	modelVoters  = 3
@@ -23,15 +22,15 @@
 	modelLease   = DefaultDuration
 )
 
-// clock shows a time of its own for a true time.
+// clock converts true time to local time.
 type clock struct {
 	offset time.Duration
-	// slowness in parts of driftDivisor: -1, 0 or 1.
+	// slowness is in parts of driftDivisor: -1, 0 or 1.
 	slowness int64
 }
 
-func (c clock) at(truth time.Duration) time.Time {
-	local := truth - truth*time.Duration(c.slowness)/driftDivisor
+func (c clock) at(trueTime time.Duration) time.Time {
+	local := trueTime - trueTime*time.Duration(c.slowness)/driftDivisor
 	return time.Unix(1_000_000, 0).Add(c.offset + local)
 }
 
@@ -49,12 +48,12 @@
 	boot    uint64
 	grantor *Grantor // of voters and relays
 	holder  Holder   // of relays and routers
-	// term and known are a voter's term as a leader and what it knew then.
-	term  uint64
-	known uint64
+	// term is a voter's term as a leader, knownRevision the revision it knew then.
+	term          uint64
+	knownRevision uint64
 }
 
-// call is a Sync call at some stage of its way.
+// call is a Sync call in some stage of processing.
 type call struct {
 	from, to     *modelNode
 	boot         uint64
@@ -63,22 +62,22 @@
 	// confirmed is set once a voter's leadership was confirmed for the call.
 	confirmed bool
 	term      uint64
-	// answered is set once the response is under way.
+	// answered is set once the response is in flight.
 	answered bool
 	grant    Grant
 }
 
 type model struct {
-	truth     time.Duration
-	voters    []*modelNode
-	relays    []*modelNode
-	routers   []*modelNode
-	calls     []*call
-	leader    *modelNode
-	term      uint64
-	committed uint64
-	reported  uint64
-	admitted  int
+	trueTime   time.Duration
+	voters     []*modelNode
+	relays     []*modelNode
+	routers    []*modelNode
+	calls      []*call
+	leader     *modelNode
+	term       uint64
+	committed  uint64
+	reported   uint64
+	admissions int
 }
 
 func newModel(t *rapid.T) *model {
@@ -97,7 +96,7 @@
 		m.routers = append(m.routers, node("router", number))
 	}
 	m.elect(m.voters[0])
-	// Before the first leader there was none whose leases could be valid.
+	// Before the first leader there were no leases that could still be valid.
 	m.leader.grantor = NewGrantor(time.Time{})
 	m.leader.grantor.Install(m.committed)
 	return m
@@ -107,18 +106,18 @@
 	m.term++
 	m.leader = voter
 	voter.term = m.term
-	voter.known = m.committed
+	voter.knownRevision = m.committed
 	voter.grantor = NewGrantor(m.now(voter).Add(Lengthened(modelLease)))
 	voter.grantor.Install(m.committed)
 }
 
-func (m *model) now(node *modelNode) time.Time { return node.clock.at(m.truth) }
+func (m *model) now(node *modelNode) time.Time { return node.clock.at(m.trueTime) }
 
 func (m *model) isVoter(node *modelNode) bool { return slices.Contains(m.voters, node) }
 
 func (m *model) isRelay(node *modelNode) bool { return slices.Contains(m.relays, node) }
 
-// send begins a call to any upstream, most often to one that may answer.
+// send starts a call to any upstream, most often to one that may reply.
 func (m *model) send(t *rapid.T) *call {
 	from := rapid.SampledFrom(slices.Concat(m.relays, m.routers)).Draw(t, "from")
 	upstreams := []*modelNode{m.leader, m.leader, m.leader, m.voters[0], m.voters[1], m.voters[2]}
@@ -134,16 +133,16 @@
 	return sent
 }
 
-// exchange makes a whole call without delay.
+// exchange completes a call without delay.
 func (m *model) exchange(t *rapid.T) {
 	for current := m.send(t); slices.Contains(m.calls, current); {
 		m.advance(slices.Index(m.calls, current))
 	}
 }
 
-// passToEnd lets time pass until just before some lease ends: by its holder's
-// clock, or by its grantor's.
-func (m *model) passToEnd(t *rapid.T) {
+// advanceToLeaseEnd advances time to within a millisecond of the end of some lease, by its
+// holder's or its grantor's clock.
+func (m *model) advanceToLeaseEnd(t *rapid.T) {
 	node := rapid.SampledFrom(slices.Concat(m.routers, m.voters)).Draw(t, "node")
 	end := node.holder.Until()
 	if m.isVoter(node) {
@@ -155,23 +154,23 @@
 	}
 	left := end.Sub(m.now(node))
 	if left <= 0 {
-		t.Skip("lapsed")
+		t.Skip("expired")
 	}
 	// A slow clock needs more true time to get there.
 	left += left * time.Duration(node.clock.slowness) / driftDivisor
 	left += time.Duration(rapid.Int64Range(-1, 1).Draw(t, "around the end")) * time.Millisecond
-	m.truth += max(left, 0)
+	m.trueTime += max(left, 0)
 }
 
-// progress takes any call one stage further.
-func (m *model) progress(t *rapid.T) {
+// advanceAny advances any call by one stage.
+func (m *model) advanceAny(t *rapid.T) {
 	if len(m.calls) == 0 {
 		t.Skip("no call")
 	}
 	m.advance(rapid.IntRange(0, len(m.calls)-1).Draw(t, "call"))
 }
 
-// advance takes a call one stage further.
+// advance advances a call by one stage.
 func (m *model) advance(index int) {
 	current := m.calls[index]
 	switch {
@@ -194,8 +193,8 @@
 
 func (c *call) child() ChildID { return ChildID{Name: c.from.name, Boot: c.boot} }
 
-// answer grants a lease, by a confirmation that may be old by now or by the
-// relay's own lease.
+// answer grants a lease, based on a confirmation that may be outdated or on the relay's own
+// lease.
 func (m *model) answer(current *call) bool {
 	server := current.to
 	now := m.now(server)
@@ -204,7 +203,7 @@
 		if current.term != server.term {
 			return false
 		}
-		server.grantor.Install(server.known)
+		server.grantor.Install(server.knownRevision)
 	} else {
 		if !server.holder.Valid(now) {
 			return false
@@ -224,7 +223,7 @@
 func (m *model) receive(current *call) {
 	node := current.from
 	if node.boot != current.boot {
-		return // the process that sent it is no more
+		return // the process that sent it has ended
 	}
 	if node.holder.Current(current.grant.Term, current.grant.Revision) {
 		node.holder.Install(current.grant.Revision)
@@ -240,7 +239,7 @@
 	node.grantor = NewGrantor(time.Time{})
 }
 
-// check lets every voter report and looks at every router.
+// check has every voter report its revision in effect and checks it against every router.
 func (m *model) check(t *rapid.T) {
 	for _, voter := range m.voters {
 		m.reported = max(m.reported, voter.grantor.InForce(m.now(voter)))
@@ -253,15 +252,15 @@
 		if !router.holder.Valid(m.now(router)) {
 			continue
 		}
-		m.admitted++
+		m.admissions++
 		if router.holder.Revision() < m.reported {
-			t.Fatalf("%s admits under revision %d, and %d was reported in force",
+			t.Fatalf("%s admits under revision %d, and %d was reported in effect",
 				router.name, router.holder.Revision(), m.reported)
 		}
 	}
 }
 
-// historiesPerCheck makes each of rapid's checks run that many histories.
+// historiesPerCheck is the number of histories in each of rapid's checks.
 const historiesPerCheck = 150
 
 func TestNoRouterAdmitsBelowTheReportedRevision(t *testing.T) {
@@ -272,16 +271,16 @@
 	})
 }
 
-// steps are what may happen next.
+// steps returns the possible next steps.
 func (m *model) steps() map[string]func(*rapid.T) {
 	steps := map[string]func(*rapid.T){
 		"pass time": func(t *rapid.T) {
-			m.truth += time.Duration(rapid.Int64Range(0, int64(4*time.Second)).Draw(t, "time"))
+			m.trueTime += time.Duration(rapid.Int64Range(0, int64(4*time.Second)).Draw(t, "time"))
 		},
-		"pass to the end of a lease": m.passToEnd,
+		"pass to the end of a lease": m.advanceToLeaseEnd,
 		"accept": func(*rapid.T) {
 			m.committed++
-			m.leader.known = m.committed
+			m.leader.knownRevision = m.committed
 		},
 		"elect": func(t *rapid.T) {
 			if rapid.IntRange(0, 3).Draw(t, "rarely") == 0 {
@@ -301,14 +300,14 @@
 		},
 		"": m.check,
 	}
-	// Calls are what moves the model, so they are drawn more often.
+	// Calls drive the model, so they are drawn more often.
 	for copy := range 4 {
 		steps[fmt.Sprintf("exchange %d", copy)] = m.exchange
 	}
 	for copy := range 2 {
 		steps[fmt.Sprintf("send %d", copy)] = func(t *rapid.T) { m.send(t) }
-		steps[fmt.Sprintf("progress %d", copy)] = m.progress
-		steps[fmt.Sprintf("progress further %d", copy)] = m.progress
+		steps[fmt.Sprintf("progress %d", copy)] = m.advanceAny
+		steps[fmt.Sprintf("progress further %d", copy)] = m.advanceAny
 	}
 	return steps
 }
