--- a/internal/membership/directory.go
+++ b/internal/membership/directory.go
@@ -14,11 +14,11 @@
 	RoleControl = "control"
 )
 
-// Direct is the source of reports on nodes that call this process itself.
+// Direct is the source of reports on nodes that call this process directly.
 const Direct = ""
 
-// LapsedKept is how long a node whose lease lapsed is still listed.
-const LapsedKept = 10 * time.Minute
+// LapsedRetention is how long a node whose lease lapsed is still listed.
+const LapsedRetention = 10 * time.Minute
 
 // Node is one run of a process as it describes itself.
 type Node struct {
@@ -33,7 +33,7 @@
 // NodeView is a node as operators see it.
 type NodeView struct {
 	Node
-	// Revision is the lowest that the node is known to have installed.
+	// Revision is the lowest revision that the node is known to have installed.
 	Revision uint64
 	// Relay is the node's relay; empty for direct followers.
 	Relay    string
@@ -41,17 +41,16 @@
 	LastSeen time.Time
 }
 
-// Directory lists the nodes with a live lease, by the word of the relays that
-// granted it. A node that moves between relays is listed by both for a while
-// and leaves the list only when neither vouches for it. It is not safe for
-// concurrent use.
+// Directory lists the nodes with a live lease, as reported by the relays that granted it. A
+// node that moves between relays is reported by both for a while, and it lapses only when
+// neither reports it. It is not safe for concurrent use.
 type Directory struct {
 	nodes   map[string]*listing
 	routers *Table[Node]
 }
 
 type listing struct {
-	// sources holds what each direct child, or Direct, says of the node.
+	// sources holds the latest report on the node from each direct child, or from Direct.
 	sources  map[string]NodeView
 	last     NodeView
 	lapsedAt time.Time
@@ -62,7 +61,7 @@
 	return &Directory{nodes: make(map[string]*listing), routers: NewRouterTable()}
 }
 
-// NewRouterTable returns the table of live routers, for nodes below the root.
+// NewRouterTable returns an empty table of live routers, for nodes below the root.
 func NewRouterTable() *Table[Node] {
 	return NewTable(func(node Node) string { return node.Name })
 }
@@ -70,14 +69,14 @@
 // Routers returns the table of live routers.
 func (d *Directory) Routers() *Table[Node] { return d.routers }
 
-// StartTerm empties the directory and starts a leader's numbering.
+// StartTerm clears the directory and starts the version numbering of a leader's term.
 func (d *Directory) StartTerm(term uint64) {
 	clear(d.nodes)
 	d.routers.StartTerm(term)
 }
 
-// Report notes a node with a live lease. Source is the direct child that
-// reports it, or Direct.
+// Report records a node with a live lease. Source is the direct child that reports it, or
+// Direct.
 func (d *Directory) Report(source string, view NodeView) {
 	known, found := d.nodes[view.Name]
 	if !found {
@@ -89,13 +88,13 @@
 	d.refresh(view.Name, known)
 }
 
-// Lapse notes that a source no longer vouches for a node.
+// Lapse records that a source no longer reports a node.
 func (d *Directory) Lapse(now time.Time, source, name string) {
 	known, found := d.nodes[name]
 	if !found {
 		return
 	}
-	if _, vouched := known.sources[source]; !vouched {
+	if _, reported := known.sources[source]; !reported {
 		return
 	}
 	delete(known.sources, source)
@@ -105,31 +104,30 @@
 	d.refresh(name, known)
 }
 
-// LapseSource notes that a direct child is gone, and with it whatever it
-// vouched for.
+// LapseSource records that a direct child has failed or left, and with it all its reports.
 func (d *Directory) LapseSource(now time.Time, source string) {
 	for name := range d.nodes {
 		d.Lapse(now, source, name)
 	}
 }
 
-// Expire forgets nodes that lapsed long ago.
+// Expire removes nodes that lapsed more than the retention time ago.
 func (d *Directory) Expire(now time.Time) {
 	for name, known := range d.nodes {
-		if len(known.sources) == 0 && now.Sub(known.lapsedAt) > LapsedKept {
+		if len(known.sources) == 0 && now.Sub(known.lapsedAt) > LapsedRetention {
 			delete(d.nodes, name)
 		}
 	}
 }
 
-// Nodes returns all nodes in order of their names.
+// Nodes returns all nodes, sorted by name.
 func (d *Directory) Nodes() []NodeView {
 	names := lo.Keys(d.nodes)
 	slices.Sort(names)
 	return lo.Map(names, func(name string, _ int) NodeView { return d.nodes[name].last })
 }
 
-// refresh derives what is listed of a node from all sources.
+// refresh derives a node's listing from all sources.
 func (d *Directory) refresh(name string, known *listing) {
 	if len(known.sources) == 0 {
 		known.last.Lapsed = true
@@ -142,8 +140,8 @@
 	}
 }
 
-// newest picks the report on the latest run of a node, and of those the one
-// seen last; the source's name decides between equals.
+// newest returns the report on the latest run of a node, and of those the one with the latest
+// contact; ties go to the first source by name.
 func newest(sources map[string]NodeView) NodeView {
 	names := lo.Keys(sources)
 	slices.Sort(names)
--- a/internal/membership/machines.go
+++ b/internal/membership/machines.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// State is the state of a back-end machine by somebody's word.
+// State is the reported state of a back-end machine.
 type State uint8
 
-// States, mildest first. The most severe one that anybody vouches for counts.
+// States, mildest first. The most severe reported state counts.
 const (
 	Live State = iota + 1
 	Leaving
@@ -21,7 +21,7 @@
 // String returns the wire form: live, leaving or gone.
 func (s State) String() string { return stateNames[s] }
 
-// ParseState reads the wire form of a state.
+// ParseState parses the wire form of a state.
 func ParseState(text string) (State, bool) {
 	for state, name := range stateNames {
 		if name == text {
@@ -37,16 +37,16 @@
 	SourceOperator = "operator"
 )
 
-// Machine is the state of one back end as spread to all routers. Machines
-// that nobody says anything bad of are not listed.
+// Machine is the state of one back end as distributed to all routers. Machines that nobody
+// reports as leaving or gone are not listed.
 type Machine struct {
 	Address string
 	State   State
-	// Source is whose word decided: platform, operator or the name of a router.
+	// Source is whose report decided: platform, operator or the name of a router.
 	Source string
 }
 
-// Observation is what one router saw of a back end.
+// Observation is a router's report on a back end.
 type Observation struct {
 	Address string
 	State   State
@@ -54,28 +54,27 @@
 }
 
 const (
-	// ObservationLifetime is how long an observation counts. A router that
-	// still sees the same repeats it in time.
+	// ObservationLifetime is how long an observation counts. A router that still observes the
+	// same state repeats it in time.
 	ObservationLifetime = 30 * time.Second
-	// goneWitnesses is how many routers must see a back end gone before all
-	// others are told: one router that is itself cut off proves nothing. That
-	// a back end is leaving it says itself, so one witness is enough.
-	goneWitnesses = 2
+	// goneQuorum is how many routers must report a back end gone before all others are
+	// notified: a single router may itself be partitioned. A back end announces by itself that
+	// it is leaving, so one report is enough for that.
+	goneQuorum = 2
 )
 
-// Machines merges what the platform, operators and routers say of back ends.
-// The platform list lags behind reality: it can take a machine out of use, but
-// its word "live" counts for nothing, so it never revives a machine that an
-// operator or a router holds for leaving or gone. It is not safe for
-// concurrent use.
+// Machines merges the reports of the platform, operators and routers on back ends. The
+// platform list lags behind reality: it can take a machine out of use, but its state "live" is
+// ignored, so it never revives a machine that an operator or a router reports as leaving or
+// gone. It is not safe for concurrent use.
 type Machines struct {
 	platform map[string]State
 	operator map[string]State
-	observed map[string]map[string]witness
+	reports  map[string]map[string]report
 	table    *Table[Machine]
 }
 
-type witness struct {
+type report struct {
 	state State
 	until time.Time
 }
@@ -85,13 +84,12 @@
 	return &Machines{
 		platform: make(map[string]State),
 		operator: make(map[string]State),
-		observed: make(map[string]map[string]witness),
+		reports:  make(map[string]map[string]report),
 		table:    NewMachineTable(),
 	}
 }
 
-// NewMachineTable returns the table that Machines spreads, for nodes below the
-// root.
+// NewMachineTable returns an empty table of machines, for nodes below the root.
 func NewMachineTable() *Table[Machine] {
 	return NewTable(func(machine Machine) string { return machine.Address })
 }
@@ -99,10 +97,10 @@
 // Table returns the merged states.
 func (m *Machines) Table() *Table[Machine] { return m.table }
 
-// StartTerm empties what was learned from followers and starts a leader's
-// numbering. The platform's and operators' words are kept.
+// StartTerm clears the reports of followers and starts the version numbering of a leader's
+// term. Reports of the platform and of operators are kept.
 func (m *Machines) StartTerm(now time.Time, term uint64) {
-	clear(m.observed)
+	clear(m.reports)
 	m.table.StartTerm(term)
 	for address := range m.platform {
 		m.merge(now, address)
@@ -112,8 +110,8 @@
 	}
 }
 
-// SetPlatform replaces the platform's list. A machine that was on the list
-// before and is no more counts as gone until it is listed again.
+// SetPlatform replaces the platform's list. A machine that is no longer listed counts as gone
+// until it is listed again.
 func (m *Machines) SetPlatform(now time.Time, list map[string]State) {
 	for address := range m.platform {
 		if _, listed := list[address]; !listed {
@@ -128,7 +126,7 @@
 	}
 }
 
-// SetOperator notes an operator's word; Live withdraws the one before.
+// SetOperator records an operator's report; Live withdraws the one before.
 func (m *Machines) SetOperator(now time.Time, address string, state State) {
 	if state == Live {
 		delete(m.operator, address)
@@ -138,29 +136,29 @@
 	m.merge(now, address)
 }
 
-// Observe notes what a router saw; Live withdraws only its own word.
+// Observe records a router's observation; Live withdraws only that router's own one.
 func (m *Machines) Observe(now time.Time, observation Observation) {
-	witnesses := m.observed[observation.Address]
+	byRouter := m.reports[observation.Address]
 	if observation.State == Live {
-		delete(witnesses, observation.Router)
+		delete(byRouter, observation.Router)
 	} else {
-		if witnesses == nil {
-			witnesses = make(map[string]witness)
-			m.observed[observation.Address] = witnesses
+		if byRouter == nil {
+			byRouter = make(map[string]report)
+			m.reports[observation.Address] = byRouter
 		}
-		witnesses[observation.Router] = witness{state: observation.State, until: now.Add(ObservationLifetime)}
+		byRouter[observation.Router] = report{state: observation.State, until: now.Add(ObservationLifetime)}
 	}
 	m.merge(now, observation.Address)
 }
 
-// Forget drops what a router observed before a moment: an earlier run of it can
-// take nothing back.
+// Forget drops the observations that a router made before a moment: an earlier run of it can
+// no longer withdraw them.
 func (m *Machines) Forget(router string, before time.Time) {
-	for _, address := range slices.Sorted(maps.Keys(m.observed)) {
-		witnesses := m.observed[address]
-		word, found := witnesses[router]
-		if found && word.until.Add(-ObservationLifetime).Before(before) {
-			delete(witnesses, router)
+	for _, address := range slices.Sorted(maps.Keys(m.reports)) {
+		byRouter := m.reports[address]
+		last, found := byRouter[router]
+		if found && last.until.Add(-ObservationLifetime).Before(before) {
+			delete(byRouter, router)
 			m.merge(before, address)
 		}
 	}
@@ -168,23 +166,23 @@
 
 // Expire drops observations that were not repeated in time.
 func (m *Machines) Expire(now time.Time) {
-	for address := range m.observed {
+	for address := range m.reports {
 		m.merge(now, address)
 	}
 }
 
-// merge derives the state of one machine from all that is said of it.
+// merge derives the state of one machine from all reports on it.
 func (m *Machines) merge(now time.Time, address string) {
 	merged := Machine{Address: address, State: Live}
-	worsen := func(state State, source string) {
+	raise := func(state State, source string) {
 		if state > merged.State {
 			merged.State, merged.Source = state, source
 		}
 	}
-	worsen(m.operator[address], SourceOperator)
-	state, router := m.witnessed(now, address)
-	worsen(state, router)
-	worsen(m.platform[address], SourcePlatform)
+	raise(m.operator[address], SourceOperator)
+	state, router := m.observedState(now, address)
+	raise(state, router)
+	raise(m.platform[address], SourcePlatform)
 	if merged.State == Live {
 		m.table.Remove(address)
 		return
@@ -192,17 +190,17 @@
 	m.table.Put(merged)
 }
 
-// witnessed returns the state that routers vouch for and the name of one of
-// them, the first by name so that the result does not depend on map order.
-func (m *Machines) witnessed(now time.Time, address string) (State, string) {
-	witnesses := m.observed[address]
+// observedState returns the state derived from the routers' reports and the name of one of the
+// routers, the first by name so that the result does not depend on map order.
+func (m *Machines) observedState(now time.Time, address string) (State, string) {
+	byRouter := m.reports[address]
 	first, gone := "", 0
-	for router, word := range witnesses {
-		if !now.Before(word.until) {
-			delete(witnesses, router)
+	for router, last := range byRouter {
+		if !now.Before(last.until) {
+			delete(byRouter, router)
 			continue
 		}
-		if word.state == Gone {
+		if last.state == Gone {
 			gone++
 		}
 		if first == "" || router < first {
@@ -210,12 +208,12 @@
 		}
 	}
 	switch {
-	case len(witnesses) == 0:
-		delete(m.observed, address)
+	case len(byRouter) == 0:
+		delete(m.reports, address)
 		return Live, ""
-	case gone >= goneWitnesses:
+	case gone >= goneQuorum:
 		return Gone, first
-	case gone == len(witnesses):
+	case gone == len(byRouter):
 		return Live, ""
 	}
 	return Leaving, first
--- a/internal/membership/machines_test.go
+++ b/internal/membership/machines_test.go
@@ -17,13 +17,13 @@
 	return machine.State
 }
 
-// TestPlatformRevivesNoMachine gives the platform's word "live" after each of
-// the words that take a machine out of use.
-func TestPlatformRevivesNoMachine(t *testing.T) {
+// TestPlatformListDoesNotReviveAMachine has the platform list a machine as live after each
+// kind of report that takes it out of use.
+func TestPlatformListDoesNotReviveAMachine(t *testing.T) {
 	live := map[string]State{backEnd: Live}
 	for name, test := range map[string]struct {
-		say  func(machines *Machines, now time.Time)
-		want State
+		apply func(machines *Machines, now time.Time)
+		want  State
 	}{
 		"a router saw it leave": {func(machines *Machines, now time.Time) {
 			machines.Observe(now, Observation{Address: backEnd, State: Leaving, Router: "router-1"})
@@ -39,23 +39,23 @@
 		now := time.Unix(1000, 0)
 		machines := NewMachines()
 		machines.SetPlatform(now, live)
-		test.say(machines, now)
+		test.apply(machines, now)
 		require.Equal(t, test.want, stateOf(machines), name)
 		for range 3 {
 			now = now.Add(time.Second)
 			machines.SetPlatform(now, live)
 			machines.Expire(now)
-			require.Equal(t, test.want, stateOf(machines), "%s: the list lags behind", name)
+			require.Equal(t, test.want, stateOf(machines), "%s: the platform list lags behind", name)
 		}
 		machines.SetPlatform(now, nil)
-		require.Equal(t, Gone, stateOf(machines), "%s: it left the list", name)
+		require.Equal(t, Gone, stateOf(machines), "%s: it is no longer listed", name)
 		machines.SetPlatform(now, live)
 		require.Equal(t, test.want, stateOf(machines), "%s: it was listed again", name)
 	}
 }
 
-// TestOneWitnessProvesNoLoss checks that a router which is itself cut off takes
-// no machine out of use for others, and that words end with their witnesses.
+// TestOneWitnessProvesNoLoss checks that a single router, which may itself be partitioned,
+// takes no machine out of use for others, and that observations expire.
 func TestOneWitnessProvesNoLoss(t *testing.T) {
 	now := time.Unix(1000, 0)
 	machines := NewMachines()
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -7,15 +7,15 @@
 	"github.com/samber/lo"
 )
 
-// sequenceBits is the part of a version that counts changes within a term.
-// 2^40 changes at 1,000 per second last 34 years.
+// sequenceBits is the number of low version bits that count changes within a term. 2^40
+// changes at 1,000 per second last 34 years.
 const sequenceBits = 40
 
-// maxTombstones bounds what a table remembers of removed entries. A node that
-// missed more is sent the whole table.
+// maxTombstones bounds the removed keys that a table remembers. A node that missed more is
+// sent the whole table.
 const maxTombstones = 4096
 
-// Changes turns the table of some version into that of Version.
+// Changes updates a table of some version to Version.
 type Changes[V any] struct {
 	Version uint64
 	// Full says that Set is the whole table.
@@ -24,20 +24,19 @@
 	Removed []string
 }
 
-// Table is a versioned map. At the root of the tree Put and Remove number the
-// changes; below, Merge takes the numbers over, so that a node may move to
-// another relay and go on from the version it holds. It is not safe for
-// concurrent use.
+// Table is a versioned map. At the root of the tree, Put and Remove number the changes; below,
+// Merge adopts the numbers, so that a node may move to another relay and continue from the
+// version that it holds. It is not safe for concurrent use.
 type Table[V comparable] struct {
 	key     func(V) string
 	version uint64
 	entries map[string]entry[V]
-	// removed holds the version at which a key was removed.
+	// removed holds the version at which each key was removed.
 	removed map[string]uint64
 	// oldest is the lowest version from which changes are known.
 	oldest uint64
-	// Versions strictly between these are not part of this table's history: it
-	// was replaced as a whole there, and what happened between is unknown.
+	// Versions strictly between gapAfter and gapBefore are missing in this table's history: it
+	// was replaced as a whole there.
 	gapAfter, gapBefore uint64
 }
 
@@ -46,13 +45,12 @@
 	version uint64
 }
 
-// NewTable returns an empty table of version 0. The function returns the key
-// of a value.
+// NewTable returns an empty table of version 0. The function returns the key of a value.
 func NewTable[V comparable](key func(V) string) *Table[V] {
 	return &Table[V]{key: key, entries: make(map[string]entry[V]), removed: make(map[string]uint64)}
 }
 
-// StartTerm empties the table and starts numbering for a leader's term.
+// StartTerm clears the table and starts the version numbering of a leader's term.
 func (t *Table[V]) StartTerm(term uint64) {
 	clear(t.entries)
 	clear(t.removed)
@@ -94,15 +92,15 @@
 // Len returns the number of entries.
 func (t *Table[V]) Len() int { return len(t.entries) }
 
-// Values returns the entries in order of their keys.
+// Values returns the entries, sorted by key.
 func (t *Table[V]) Values() []V {
 	keys := lo.Keys(t.entries)
 	slices.Sort(keys)
 	return lo.Map(keys, func(key string, _ int) V { return t.entries[key].value })
 }
 
-// ChangesSince returns what a holder of a version is to be sent, and false
-// when it is up to date.
+// ChangesSince returns the changes to send to a holder of a version, and false if it is up to
+// date.
 func (t *Table[V]) ChangesSince(version uint64) (Changes[V], bool) {
 	if version >= t.version {
 		return Changes[V]{}, false
@@ -129,8 +127,8 @@
 	return changes, true
 }
 
-// Merge takes changes over that a server sent and reports whether they were
-// newer than what is held.
+// Merge applies changes received from upstream and reports whether they were newer than this
+// table.
 func (t *Table[V]) Merge(changes Changes[V]) bool {
 	if changes.Version <= t.version {
 		return false
@@ -149,11 +147,10 @@
 	return true
 }
 
-// replace takes a whole table over. Entries that stay equal keep their
-// version, so nodes below are sent only the difference.
+// replace adopts a whole table. Equal entries keep their version, so that nodes below are sent
+// only the difference.
 func (t *Table[V]) replace(changes Changes[V]) {
-	// A second gap would need a list of them; history then starts after the
-	// first.
+	// A second gap would need a list of gaps. Instead, history then starts after the first.
 	t.oldest = max(t.oldest, t.gapBefore)
 	if t.version == 0 {
 		t.oldest = changes.Version
@@ -188,8 +185,8 @@
 	}
 }
 
-// forgetTombstones drops the older half; holders of older versions are sent
-// the whole table from now on.
+// forgetTombstones drops the older half; holders of older versions are sent the whole table
+// from now on.
 func (t *Table[V]) forgetTombstones() {
 	versions := lo.Values(t.removed)
 	slices.Sort(versions)
