--- a/internal/machinelist/client.go
+++ b/internal/machinelist/client.go
@@ -23,31 +23,30 @@
 	DefaultTimeout  = time.Second
 )
 
-// ClientConfig says where and how often the list is read.
+// ClientConfig configures where and how often the list is read.
 type ClientConfig struct {
 	Address netip.AddrPort
-	// Interval is the pause between two reads, Timeout bounds one read. Zero
-	// means the default.
+	// Interval is the pause between two reads, Timeout bounds one read. Zero means the
+	// default.
 	Interval time.Duration
 	Timeout  time.Duration
 }
 
-// Client reads the platform's list again and again.
+// Client reads the platform's list periodically.
 type Client struct {
-	config ClientConfig
-	http   *http.Client
-	logger logrus.FieldLogger
-	reads  *prometheus.CounterVec
-	listed prometheus.Gauge
+	config     ClientConfig
+	httpClient *http.Client
+	logger     logrus.FieldLogger
+	reads      *prometheus.CounterVec
+	machines   prometheus.Gauge
 
 	mutex sync.Mutex
-	// latest is the list that was read last, listedText the text of its machines.
-	latest     List
-	listedText []byte
+	// latest is the last valid list, machinesText the JSON text of its machines.
+	latest       List
+	machinesText []byte
 }
 
-// NewClient returns a client; it reads nothing before Run or Read. The
-// registerer may be nil.
+// NewClient returns a client; it reads nothing before Run or Read. The registerer may be nil.
 func NewClient(config ClientConfig, logger logrus.FieldLogger, registerer prometheus.Registerer) (*Client, error) {
 	if !config.Address.IsValid() || !config.Address.Addr().Is4() {
 		return nil, errors.Newf("platform address %q is not an IPv4 address with a port", config.Address)
@@ -59,33 +58,32 @@
 		config.Timeout = DefaultTimeout
 	}
 	client := &Client{
-		config: config,
-		http:   &http.Client{Timeout: config.Timeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
-		logger: logger.WithField(logging.FieldAddress, config.Address.String()),
+		config:     config,
+		httpClient: &http.Client{Timeout: config.Timeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
+		logger:     logger.WithField(logging.FieldAddress, config.Address.String()),
 		reads: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "martenstage_platform_reads_total", Help: "Reads of the platform's list by outcome."}, []string{"outcome"}),
-		listed: prometheus.NewGauge(prometheus.GaugeOpts{
+		machines: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "martenstage_platform_machines", Help: "Machines in the last list read."}),
 	}
 	if registerer == nil {
 		return client, nil
 	}
-	if err := errors.CombineErrors(registerer.Register(client.reads), registerer.Register(client.listed)); err != nil {
+	if err := errors.CombineErrors(registerer.Register(client.reads), registerer.Register(client.machines)); err != nil {
 		return nil, errors.Wrap(err, "platform metrics")
 	}
 	return client, nil
 }
 
-// Read fetches and checks the list once. The machines of a list that has not
-// changed since the read before are those of that read: the caller must not
-// change them.
+// Read fetches and validates the list once. If the machines have not changed since the last
+// read, the returned slice is shared with that read: the caller must not modify it.
 func (c *Client) Read(ctx context.Context) (List, error) {
 	url := "http://" + c.config.Address.String() + PathMachines
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return List{}, errors.Wrap(err, "platform list")
 	}
-	reply, err := c.http.Do(request)
+	reply, err := c.httpClient.Do(request)
 	if err != nil {
 		return List{}, errors.Wrap(err, "platform list")
 	}
@@ -103,8 +101,8 @@
 	return c.parse(text)
 }
 
-// parse checks a list. What a large site lists seldom changes between two
-// reads, so machines of the same text are not checked again.
+// parse validates a list. The list of a large site seldom changes between two reads, so
+// machines with the same text are not validated again.
 func (c *Client) parse(text []byte) (List, error) {
 	var document struct {
 		AsOf     time.Time       `json:"as_of"`
@@ -112,22 +110,22 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if err := json.Unmarshal(text, &document); err == nil && len(c.listedText) > 0 && bytes.Equal(document.Machines, c.listedText) {
+	if err := json.Unmarshal(text, &document); err == nil && len(c.machinesText) > 0 && bytes.Equal(document.Machines, c.machinesText) {
 		c.latest.AsOf = document.AsOf
 		return c.latest, nil
 	}
 	list, err := ParseList(text)
 	if err == nil {
-		c.latest, c.listedText = list, document.Machines
+		c.latest, c.machinesText = list, document.Machines
 	}
 	return list, err
 }
 
-// Run reads the list until the context ends and hands each good one over. A
-// failed read changes nothing: the last list stays what is known. It is logged
-// when reads begin to fail and when they work again.
+// Run reads the list until the context ends and passes each valid one to handle. After a
+// failed read the last list stays in effect. Run logs when reads begin to fail and when they
+// succeed again.
 func (c *Client) Run(ctx context.Context, handle func(List)) {
-	defer c.http.CloseIdleConnections()
+	defer c.httpClient.CloseIdleConnections()
 	ticker := time.NewTicker(c.config.Interval)
 	defer ticker.Stop()
 	wasFailing := false
@@ -136,7 +134,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		c.note(list, err, wasFailing)
+		c.recordRead(list, err, wasFailing)
 		wasFailing = err != nil
 		if err == nil {
 			handle(list)
@@ -149,7 +147,7 @@
 	}
 }
 
-func (c *Client) note(list List, err error, wasFailing bool) {
+func (c *Client) recordRead(list List, err error, wasFailing bool) {
 	if err != nil {
 		c.reads.WithLabelValues("failed").Inc()
 		if !wasFailing {
@@ -158,7 +156,7 @@
 		return
 	}
 	c.reads.WithLabelValues("read").Inc()
-	c.listed.Set(float64(len(list.Machines)))
+	c.machines.Set(float64(len(list.Machines)))
 	if wasFailing {
 		c.logger.Info("platform list readable again")
 	}
--- a/internal/machinelist/standin.go
+++ b/internal/machinelist/fake.go
@@ -17,37 +17,37 @@
 	"github.com/martenstage/martenstage/internal/settings"
 )
 
-// Paths of the stand-in besides PathMachines.
+// Paths of the fake platform besides PathMachines.
 const (
 	PathChanges = "/v1/changes"
 	PathLag     = "/v1/lag"
 )
 
-// StateGone takes a machine out of the list of a stand-in.
+// StateGone removes a machine from the list of a fake platform.
 const StateGone State = "gone"
 
-// Change is a machine's change of state.
+// Change is a change of a machine's state.
 type Change struct {
-	// At is when it happens, since the start of the stand-in.
+	// At is when it happens, since the start of the fake platform.
 	At      time.Duration
 	Address netip.AddrPort
 	State   State
 }
 
-// StandInConfig describes a stand-in for a platform.
+// StandInConfig configures a fake platform.
 type StandInConfig struct {
 	// Machines are live from the start.
 	Machines []netip.AddrPort
-	// Lag is how far the list served is behind the changes.
+	// Lag is how far the served list is behind the changes.
 	Lag time.Duration
-	// Changes happen by time.
+	// Changes are scheduled in advance.
 	Changes []Change
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
 }
 
-// StandIn is a platform for tests and experiments: it serves a list that lags
-// behind the changes that it was told.
+// StandIn is a platform for tests and experiments: it serves a list that lags behind the
+// changes made to it.
 type StandIn struct {
 	now     func() time.Time
 	started time.Time
@@ -58,29 +58,29 @@
 	changes []Change
 }
 
-// NewStandIn returns a stand-in whose time begins now.
+// NewStandIn returns a fake platform that starts now.
 func NewStandIn(config StandInConfig) *StandIn {
 	if config.Now == nil {
 		config.Now = time.Now
 	}
-	standIn := &StandIn{now: config.Now, started: config.Now(), lag: config.Lag, initial: config.Machines}
+	platform := &StandIn{now: config.Now, started: config.Now(), lag: config.Lag, initial: config.Machines}
 	for _, change := range config.Changes {
-		standIn.insert(change)
+		platform.insert(change)
 	}
-	return standIn
+	return platform
 }
 
-// List returns the list as it was a lag ago. Nothing is older than the start.
+// List returns the list as it was one lag ago, but not before the start.
 func (s *StandIn) List() List {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	seen := max(0, s.now().Sub(s.started)-s.lag)
+	elapsed := max(0, s.now().Sub(s.started)-s.lag)
 	machines := map[netip.AddrPort]Machine{}
 	for _, address := range s.initial {
 		machines[address] = Machine{Address: address, State: StateLive, Since: s.started}
 	}
 	for _, change := range s.changes {
-		if change.At > seen {
+		if change.At > elapsed {
 			break
 		}
 		if change.State == StateGone {
@@ -89,39 +89,38 @@
 		}
 		machines[change.Address] = Machine{Address: change.Address, State: change.State, Since: s.started.Add(change.At)}
 	}
-	list := List{AsOf: s.started.Add(seen), Machines: lo.Values(machines)}
+	list := List{AsOf: s.started.Add(elapsed), Machines: lo.Values(machines)}
 	slices.SortFunc(list.Machines, func(left, right Machine) int { return left.Address.Compare(right.Address) })
 	return list
 }
 
-// Change tells the stand-in of a change that happens now.
+// Change applies a change of state now.
 func (s *StandIn) Change(address netip.AddrPort, state State) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.insert(Change{At: s.now().Sub(s.started), Address: address, State: state})
 }
 
-// SetLag changes how far the list is behind.
+// SetLag sets how far the list is behind.
 func (s *StandIn) SetLag(lag time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.lag = lag
 }
 
-// insert keeps the changes sorted by time; of equal times the later told one
-// comes later.
+// insert keeps the changes sorted by time; equal times stay in the order of insertion.
 func (s *StandIn) insert(change Change) {
 	s.changes = append(s.changes, change)
 	slices.SortStableFunc(s.changes, func(left, right Change) int { return cmp.Compare(left.At, right.At) })
 }
 
-// ChangeRequest is the document of a POST to PathChanges.
+// ChangeRequest is the body of a POST to PathChanges.
 type ChangeRequest struct {
 	Address string `json:"address" doc:"IPv4 address with port"`
 	State   State  `json:"state" enum:"live,leaving,gone"`
 }
 
-// LagRequest is the document of a PUT to PathLag.
+// LagRequest is the body of a PUT to PathLag.
 type LagRequest struct {
 	Lag string `json:"lag" doc:"Duration, such as 5s"`
 }
@@ -132,8 +131,8 @@
 	lagInput    struct{ Body LagRequest }
 )
 
-// Handler serves the list, and the calls that change it. Its OpenAPI document
-// is at /openapi.json.
+// Handler serves the list and the calls that change it. Its OpenAPI document is at
+// /openapi.json.
 func (s *StandIn) Handler() http.Handler {
 	mux := http.NewServeMux()
 	config := huma.DefaultConfig("martenstage platform stand-in", "1")
--- a/internal/machinelist/list.go
+++ b/internal/machinelist/list.go
@@ -1,7 +1,6 @@
-// Package machinelist reads the platform's list of live and leaving machines, and
-// holds a stand-in for the platform that serves one. The list lags behind
-// reality: it can take a machine out of use, but it is no proof that a machine
-// is alive.
+// Package machinelist reads the platform's list of live and leaving machines, and contains a
+// fake platform that serves one. The list lags behind reality: it can take a machine out of
+// use, but it does not prove that a machine is alive.
 //
 // The list is one JSON document over HTTP, GET PathMachines:
 //
@@ -22,10 +21,10 @@
 // PathMachines is where a platform serves its list.
 const PathMachines = "/v1/machines"
 
-// State is what the platform knows about a machine.
+// State is the platform's state of a machine.
 type State string
 
-// States. A machine that is gone is in no list.
+// States. A removed machine is in no list.
 const (
 	StateLive    State = "live"
 	StateLeaving State = "leaving"
@@ -35,26 +34,25 @@
 type Machine struct {
 	Address netip.AddrPort `json:"address"`
 	State   State          `json:"state"`
-	// Since is when the machine came into the state, by the platform's clock.
+	// Since is when the machine entered the state, by the platform's clock.
 	Since time.Time `json:"since"`
 }
 
-// List is what a platform knows about its machines at a moment of its past.
+// List is the state of a platform's machines at a past moment.
 type List struct {
-	// AsOf is the platform's time of the list.
+	// AsOf is the moment, by the platform's clock.
 	AsOf     time.Time `json:"as_of"`
 	Machines []Machine `json:"machines"`
 }
 
-// Bounds of a list. The largest fleet in sight has 57,000 servers at about 90
-// bytes an entry.
+// Bounds of a list. The largest planned fleet has 57,000 servers at about 90 bytes an entry.
 const (
 	MaxMachines  = 100_000
 	MaxListBytes = 16 << 20
 )
 
-// ParseList reads a list and checks it whole: a list with one wrong entry is
-// refused, since the rest of it is then in doubt as well.
+// ParseList parses and validates a list. A list with one invalid entry is rejected, since its
+// other entries can't be trusted either.
 func ParseList(text []byte) (List, error) {
 	var document struct {
 		AsOf     time.Time `json:"as_of"`
--- a/internal/machinelist/machinelist_test.go
+++ b/internal/machinelist/machinelist_test.go
@@ -34,11 +34,11 @@
 func TestListIsServedALagBehind(t *testing.T) {
 	started := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	now := started
-	standIn := NewStandIn(StandInConfig{
+	platform := NewStandIn(StandInConfig{
 		Machines: []netip.AddrPort{machineOne, machineTwo}, Lag: 5 * time.Second, Now: func() time.Time { return now },
 		Changes: []Change{{At: 10 * time.Second, Address: machineTwo, State: StateGone}},
 	})
-	client := clientOf(t, standIn.Handler())
+	client := clientOf(t, platform.Handler())
 	read := func() map[netip.AddrPort]State {
 		list, err := client.Read(context.Background())
 		require.NoError(t, err)
@@ -50,16 +50,16 @@
 	}
 	both := map[netip.AddrPort]State{machineOne: StateLive, machineTwo: StateLive}
 	now = started.Add(2 * time.Second)
-	standIn.Change(machineOne, StateLeaving)
+	platform.Change(machineOne, StateLeaving)
 	now = started.Add(6 * time.Second)
-	require.Equal(t, both, read(), "the change is not visible before the lag is over")
+	require.Equal(t, both, read(), "the change is not visible before the lag has passed")
 	now = started.Add(7 * time.Second)
 	require.Equal(t, map[netip.AddrPort]State{machineOne: StateLeaving, machineTwo: StateLive}, read())
 	now = started.Add(15 * time.Second)
 	require.Equal(t, map[netip.AddrPort]State{machineOne: StateLeaving}, read())
 }
 
-func TestClientRefusesWhatIsNoList(t *testing.T) {
+func TestClientRejectsInvalidLists(t *testing.T) {
 	entry := func(address, state string) string {
 		return `{"address":"` + address + `","state":"` + state + `"}`
 	}
@@ -95,13 +95,13 @@
 
 func TestRunKeepsReadingAfterAFailure(t *testing.T) {
 	var reads atomic.Int64
-	standIn := NewStandIn(StandInConfig{Machines: []netip.AddrPort{machineOne}})
+	platform := NewStandIn(StandInConfig{Machines: []netip.AddrPort{machineOne}})
 	client := clientOf(t, http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if reads.Add(1) <= 2 {
 			http.Error(writer, "down", http.StatusServiceUnavailable)
 			return
 		}
-		standIn.Handler().ServeHTTP(writer, request)
+		platform.Handler().ServeHTTP(writer, request)
 	}))
 	client.config.Interval = time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
@@ -134,7 +134,7 @@
 	require.Empty(t, read(`{"as_of":"2026-01-02T03:04:09Z","machines":[]}`).Machines)
 	require.Empty(t, read(`{"as_of":"2026-01-02T03:04:09Z"}`).Machines)
 	_, err = client.parse([]byte(`{"as_of":"2026-01-02T03:04:11Z","machines":[]`))
-	require.Error(t, err, "a list that is cut short")
+	require.Error(t, err, "a truncated list")
 }
 
 func BenchmarkReadOfAnUnchangedList(b *testing.B) {
--- a/internal/machinelist/script.go
+++ b/internal/machinelist/script.go
@@ -12,7 +12,7 @@
 	"github.com/martenstage/martenstage/internal/settings"
 )
 
-// scriptDocument is the text form of a script (YAML):
+// scriptDocument is a script in YAML:
 //
 //	lag: 5s
 //	changes:
@@ -26,7 +26,7 @@
 	} `yaml:"changes"`
 }
 
-// ReadScript reads the lag and the changes of a stand-in from a YAML file.
+// ReadScript reads the lag and the changes of a fake platform from a YAML file.
 func ReadScript(path string) (StandInConfig, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
