--- a/internal/cell/cells.go
+++ b/internal/cell/cells.go
@@ -12,9 +12,9 @@
 	"github.com/martenstage/martenstage/internal/plan"
 )
 
-// Cells are the cells of all services for one list of live routers. They are
-// worked out when first asked for and remembered, because the list changes
-// less often than the plan. Cells are safe for concurrent use.
+// Cells holds the cells of all services for one list of live routers. Cells are computed on
+// first use and cached, because the list changes less often than the plan. Cells is safe for
+// concurrent use.
 type Cells struct {
 	routers []string
 
@@ -28,14 +28,14 @@
 	size    int
 }
 
-// NewCells returns the cells of a list of live routers, which the caller does
-// not change any more.
+// NewCells returns the cells of a list of live routers, which the caller must not modify any
+// more.
 func NewCells(routers []string) *Cells {
 	return &Cells{routers: routers, known: make(map[cellKey][]string)}
 }
 
-// Members returns the routers that may connect to a service's back ends, by
-// descending rank. Size 0 means all routers. The caller must not change them.
+// Members returns the routers that may connect to a service's back ends, by descending rank.
+// Size 0 means all routers. The caller must not modify the result.
 func (c *Cells) Members(service string, size int) []string {
 	key := cellKey{service: service, size: size}
 	c.mutex.Lock()
@@ -48,52 +48,52 @@
 	return members
 }
 
-// Own returns the part of a plan that a router serves itself: the services
-// whose cells it belongs to, with their routes.
-func (c *Cells) Own(whole *plan.Plan, router string) *plan.Plan {
-	own := &plan.Plan{}
+// Own returns the part of a plan that a router serves itself: the services whose cells it
+// belongs to, with their routes.
+func (c *Cells) Own(fullPlan *plan.Plan, router string) *plan.Plan {
+	local := &plan.Plan{}
 	served := make(map[string]bool)
-	for index := range whole.Services {
-		service := &whole.Services[index]
+	for index := range fullPlan.Services {
+		service := &fullPlan.Services[index]
 		if c.contains(service, router) {
-			own.Services = append(own.Services, *service)
+			local.Services = append(local.Services, *service)
 			served[service.Name] = true
 		}
 	}
-	for _, route := range whole.Routes {
+	for _, route := range fullPlan.Routes {
 		if served[route.Service] {
-			own.Routes = append(own.Routes, route)
+			local.Routes = append(local.Routes, route)
 		}
 	}
-	return own
+	return local
 }
 
 func (c *Cells) contains(service *plan.Service, router string) bool {
 	return slices.Contains(c.Members(service.Name, service.CellRouters), router)
 }
 
-// Shares returns a router's share of every back end of the services whose
-// cells it belongs to. It has no share of any other back end. The routers of
-// other services' cells count where a back end serves both.
-func (c *Cells) Shares(whole *plan.Plan, router string) map[netip.AddrPort]Share {
+// Shares returns a router's share of every back end of the services whose cells it belongs to,
+// and no entry for other back ends. Where a back end also serves another service, the routers
+// of that service's cell count too.
+func (c *Cells) Shares(fullPlan *plan.Plan, router string) map[netip.AddrPort]Share {
 	backends := make(map[netip.AddrPort]*backend)
-	var foreign []*plan.Service
-	for index := range whole.Services {
-		service := &whole.Services[index]
+	var otherServices []*plan.Service
+	for index := range fullPlan.Services {
+		service := &fullPlan.Services[index]
 		if !c.contains(service, router) {
-			foreign = append(foreign, service)
+			otherServices = append(otherServices, service)
 			continue
 		}
 		members := c.Members(service.Name, service.CellRouters)
 		for replica := range replicasOf(service) {
-			add(backends, replica, members)
+			addReplica(backends, replica, members)
 		}
 	}
-	for _, service := range foreign {
+	for _, service := range otherServices {
 		members := c.Members(service.Name, service.CellRouters)
 		for replica := range replicasOf(service) {
 			if _, shared := backends[replica.Address]; shared {
-				add(backends, replica, members)
+				addReplica(backends, replica, members)
 			}
 		}
 	}
@@ -114,22 +114,21 @@
 	return cmp.Or(cmp.Compare(other.score, r.score), strings.Compare(r.router, other.router))
 }
 
-// best returns the routers of the highest scores, highest first. Most routers
-// of a large fleet are below the lowest of the best so far and cost one
-// comparison.
-func best(key string, routers []string, size int) []ranked {
-	found := make([]ranked, 0, size+1)
+// topRanked returns the routers with the highest scores, highest first. Most routers of a
+// large fleet rank below the lowest one kept so far and cost one comparison.
+func topRanked(key string, routers []string, size int) []ranked {
+	top := make([]ranked, 0, size+1)
 	digest := xxhash.New()
 	for _, router := range routers {
 		candidate := ranked{score: scoreWith(digest, key, router), router: router}
-		if len(found) == size && found[size-1].compare(candidate) <= 0 {
+		if len(top) == size && top[size-1].compare(candidate) <= 0 {
 			continue
 		}
-		place, _ := slices.BinarySearchFunc(found, candidate, ranked.compare)
-		found = slices.Insert(found, place, candidate)
-		found = found[:min(len(found), size)]
+		position, _ := slices.BinarySearchFunc(top, candidate, ranked.compare)
+		top = slices.Insert(top, position, candidate)
+		top = top[:min(len(top), size)]
 	}
-	return found
+	return top
 }
 
 func scoreWith(digest *xxhash.Digest, key, router string) uint64 {
