--- a/internal/addressee/addressee.go
+++ b/internal/addressee/addressee.go
@@ -1,13 +1,12 @@
-// Package addressee names, in calls between the processes of a registered site, the group
-// of the caller and the process that the call is meant for.
+// Package addressee identifies, in calls between the processes of a registered site, the group
+// of the caller and the process that the call is intended for.
 //
-// An address outlives the process that listened at it: the next process that gets it may be
-// another one, or belong to another group. A call carries the caller's group and, where the
-// caller knows it, the name of the process that it is meant for. A process that is not meant
-// refuses the call with 421 Misdirected Request (RFC 9110, section 15.5.20) and has done nothing.
-// A reply carries the same of the process that gave it, so that the caller notices one that
-// does not check. What is not named is not compared: processes of an earlier version name
-// neither.
+// An address outlives the process that listened at it: it may pass to another process, also of
+// another group. A call carries the caller's group and, if known, the name of the intended
+// process. Any other process refuses the call with 421 Misdirected Request (RFC 9110, section
+// 15.5.20) without executing it. A reply carries the group and name of the replying process,
+// so that the caller detects a process that does not check. Missing values are not compared:
+// processes of an earlier version send neither.
 package addressee
 
 import (
@@ -22,19 +21,20 @@
 
 // Headers of calls and replies.
 const (
-	// headerGroup is the caller's group in a call, the answering process's in a reply.
+	// headerGroup is the group of the caller in a call, and that of the replying process in a
+	// reply.
 	headerGroup = "Martenstage-Group"
-	// headerTo is the name of the process that a call is meant for, headerFrom that of the
-	// one that replied.
+	// headerTo is the name of the process that a call is intended for, headerFrom that of the
+	// replying process.
 	headerTo   = "Martenstage-To"
 	headerFrom = "Martenstage-From"
 )
 
-// Group identifies the directory nodes that share a log, and the routers that follow them;
-// 0 is unknown.
+// Group identifies the directory nodes that share a log, and the routers that follow them; 0
+// is unknown.
 type Group uint64
 
-// GroupOf returns the group that was founded by the nodes at some addresses, in any order.
+// GroupOf returns the group founded by the nodes at some addresses, in any order.
 func GroupOf(founders []string) Group {
 	if len(founders) == 0 {
 		return 0
@@ -43,9 +43,9 @@
 	return Group(max(1, xxhash.Sum64String("group "+strings.Join(sorted, " "))))
 }
 
-// Serves reports whether a group is the one that a process with some seeds looks for: they founded it,
-// or at least half of them are its members. A seed alone proves nothing, since its address may have
-// passed to a node of another group.
+// Serves reports whether a group is the one that a process with some seeds looks for: the
+// seeds founded it, or at least half of them are its members. A single matching seed proves
+// nothing, since its address may have passed to a node of another group.
 func (g Group) Serves(seeds, members []string) bool {
 	if g != 0 && g == GroupOf(seeds) {
 		return true
@@ -59,30 +59,30 @@
 	return 2*known >= len(seeds)
 }
 
-// String returns the group as in headers and logs.
+// String returns the group as it appears in headers and logs.
 func (g Group) String() string { return strconv.FormatUint(uint64(g), hexadecimal) }
 
 const hexadecimal = 16
 
-// Differs reports whether two groups are known and not the same.
+// Differs reports whether two groups are known and differ.
 func (g Group) Differs(other Group) bool { return g != 0 && other != 0 && g != other }
 
-// Identity is a process as others know it.
+// Identity identifies a process to others.
 type Identity struct {
 	Group Group
 	// Name is empty for any process of the group.
 	Name string
 }
 
-// matches reports whether a process may be meant by an identity.
+// matches reports whether a process may be the one that an identity describes.
 func (i Identity) matches(process Identity) bool {
 	return !i.Group.Differs(process.Group) && (i.Name == "" || process.Name == "" || i.Name == process.Name)
 }
 
-// MisdirectedError says that a call reached another process than the one that it was meant for.
+// MisdirectedError says that a call reached a process other than the intended one.
 type MisdirectedError struct {
 	Expected, Found Identity
-	// Refused says that the process refused the call and has done nothing.
+	// Refused says that the process refused the call without executing it.
 	Refused bool
 }
 
@@ -91,7 +91,8 @@
 	return fmt.Sprintf("call for %q of group %s reached %q of group %s", e.Expected.Name, e.Expected.Group, e.Found.Name, e.Found.Group)
 }
 
-// Mark names in a call's headers whom it is meant for and that the caller is of the same group.
+// Mark sets the headers of a call: the intended process and the group, which is also the
+// caller's.
 func Mark(header http.Header, expected Identity) {
 	if expected.Group != 0 {
 		header[headerGroup] = []string{expected.Group.String()}
@@ -101,8 +102,8 @@
 	}
 }
 
-// Check returns a *MisdirectedError for a reply of another process than the expected one; also
-// for one that does not say whose it is, if the expected one does.
+// Check returns a *MisdirectedError if a process other than the expected one replied. If the
+// expected one identifies itself, that includes replies without a name.
 func Check(response *http.Response, expected Identity, identifies bool) error {
 	found := identityOf(response.Header, headerFrom)
 	refused := response.StatusCode == http.StatusMisdirectedRequest
@@ -112,17 +113,17 @@
 	return nil
 }
 
-// Handler refuses calls that are not meant for this process, and tells of them. Own returns
-// the identity of this process.
+// Handler refuses calls that are intended for another process and reports them to misdirected.
+// Own returns the identity of this process.
 func Handler(own func() Identity, misdirected func(*MisdirectedError), next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		self := own()
-		answered := writer.Header()
+		replyHeader := writer.Header()
 		if self.Group != 0 {
-			answered[headerGroup] = []string{self.Group.String()}
+			replyHeader[headerGroup] = []string{self.Group.String()}
 		}
 		if self.Name != "" {
-			answered[headerFrom] = []string{self.Name}
+			replyHeader[headerFrom] = []string{self.Name}
 		}
 		expected := identityOf(request.Header, headerTo)
 		if !expected.matches(self) {
@@ -135,21 +136,21 @@
 	})
 }
 
-// identityOf reads an identity from headers. A group that can't be read is one that no process
+// identityOf reads an identity from headers. An invalid group is read as one that no process
 // has, so that it differs from every known one.
 func identityOf(header http.Header, name string) Identity {
-	read := Identity{Name: header.Get(name)}
+	identity := Identity{Name: header.Get(name)}
 	text := header.Get(headerGroup)
 	if text == "" {
-		return read
+		return identity
 	}
 	group, err := strconv.ParseUint(text, hexadecimal, 64)
 	if err != nil || group == 0 {
-		group = unreadable
+		group = invalidGroup
 	}
-	read.Group = Group(group)
-	return read
+	identity.Group = Group(group)
+	return identity
 }
 
-// unreadable stands for a group that can't be read.
-const unreadable = ^uint64(0)
+// invalidGroup replaces a group that can't be parsed.
+const invalidGroup = ^uint64(0)
