--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -1,9 +1,9 @@
-// Package evacuation works out which servers get no requests because an operator has
-// their zone evacuated. It has no I/O and reads no clock.
+// Package evacuation determines which servers get no requests because an operator has
+// evacuated their zone. It does no I/O and reads no clock.
 //
-// The orders themselves are durable elsewhere (package directory). A router that hears
-// of one moves the services of the zone one after the other over a short time, so that
-// connections to the servers of other zones come up before all of the load is there.
+// The orders are made durable elsewhere (package directory). A router that receives one moves
+// the services of the zone one after the other over a short time, so that connections to the
+// servers of other zones are established before they carry the full load.
 package evacuation
 
 import (
@@ -14,44 +14,44 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// View is what one router knows of evacuated zones. The zero value knows of none. A
-// View is never changed: Take returns another one.
+// View is one router's knowledge of evacuated zones. The zero value has none. A View is
+// immutable: an update returns a new one.
 type View struct {
-	zones map[string]move
+	zones map[string]transition
 }
 
-// move is the way of a zone's services out of it, or back.
-type move struct {
-	began time.Time
-	// over is the time that all services take; 0 for at once.
-	over time.Duration
-	// back says that the evacuation was taken back.
-	back bool
+// transition is the gradual move of a zone's services out of it, or back.
+type transition struct {
+	startedAt time.Time
+	// duration is the time until all services have moved; 0 for at once.
+	duration time.Duration
+	// returning says that the evacuation was cancelled.
+	returning bool
 }
 
-// Take returns the view of a router that is told, at a time, which zones are evacuated.
-// Services leave and return over a time, 0 for at once. A zone whose order is reversed
-// while its services still move is moved at once: where each service is by then is
-// known to this router alone.
-func (v View) Take(now time.Time, zones []string, over time.Duration) View {
-	next := make(map[string]move, len(zones))
+// Take returns the view after a router received, at a time, the list of evacuated zones.
+// Services leave and return over a duration, 0 for at once. A zone whose order is reversed
+// during its transition is moved at once, since only this router knows which of its services
+// have moved by then.
+func (v View) Take(now time.Time, zones []string, duration time.Duration) View {
+	next := make(map[string]transition, len(zones))
 	for zone, known := range v.zones {
 		evacuated := slices.Contains(zones, zone)
 		switch {
-		case evacuated != known.back:
+		case evacuated != known.returning:
 			next[zone] = known
-		case now.Before(known.began.Add(known.over)):
-			next[zone] = move{began: now, back: !evacuated}
+		case now.Before(known.startedAt.Add(known.duration)):
+			next[zone] = transition{startedAt: now, returning: !evacuated}
 		default:
-			next[zone] = move{began: now, over: over, back: !evacuated}
+			next[zone] = transition{startedAt: now, duration: duration, returning: !evacuated}
 		}
-		if ended := next[zone]; ended.back && !now.Before(ended.began.Add(ended.over)) {
+		if ended := next[zone]; ended.returning && !now.Before(ended.startedAt.Add(ended.duration)) {
 			delete(next, zone)
 		}
 	}
 	for _, zone := range zones {
 		if _, known := v.zones[zone]; !known {
-			next[zone] = move{began: now, over: over}
+			next[zone] = transition{startedAt: now, duration: duration}
 		}
 	}
 	return View{zones: next}
@@ -63,30 +63,30 @@
 	if !exists {
 		return false
 	}
-	moved := !now.Before(known.moves(service))
-	return moved != known.back
+	moved := !now.Before(known.movesAt(service))
+	return moved != known.returning
 }
 
-// Moving reports whether services are on their way, so that Empty may soon answer
-// otherwise.
+// Moving reports whether a transition is in progress, so that the set of evacuated services
+// may soon change.
 func (v View) Moving(now time.Time) bool {
 	for _, known := range v.zones {
-		if now.Before(known.began.Add(known.over)) {
+		if now.Before(known.startedAt.Add(known.duration)) {
 			return true
 		}
 	}
 	return false
 }
 
-// Zones returns the zones that are evacuated, ordered by name.
+// Zones returns the evacuated zones, sorted by name.
 func (v View) Zones() []string {
-	return slices.DeleteFunc(slices.Sorted(maps.Keys(v.zones)), func(zone string) bool { return v.zones[zone].back })
+	return slices.DeleteFunc(slices.Sorted(maps.Keys(v.zones)), func(zone string) bool { return v.zones[zone].returning })
 }
 
-// moves is when a service leaves or returns: all routers move it at about the same
+// movesAt returns when a service leaves or returns. All routers move it at about the same
 // time, so that those that gather it agree.
-func (m move) moves(service string) time.Time {
+func (t transition) movesAt(service string) time.Time {
 	const steps = 1 << 16
 	step := xxhash.Sum64String(service) % steps
-	return m.began.Add(time.Duration(step) * (m.over / steps))
+	return t.startedAt.Add(time.Duration(step) * (t.duration / steps))
 }
