--- a/internal/nearest/nearest.go
+++ b/internal/nearest/nearest.go
@@ -1,13 +1,13 @@
-// Package nearest finds the known name that a mistyped one most likely meant.
+// Package nearest finds the known name closest to a mistyped one.
 package nearest
 
-// farthest is the largest number of typing errors that a suggestion may mend.
-const farthest = 3
+// maxDistance is the largest edit distance at which a name is suggested.
+const maxDistance = 3
 
-// Name returns the known name with the least edit distance to the word. It
-// returns false when even that one is too far to be a typing error.
+// Name returns the known name with the smallest edit distance to the word. It returns false if
+// even that distance is too large for a typing error.
 func Name(word string, known []string) (string, bool) {
-	best, bestDistance := "", min(farthest, (len(word)+1)/2)+1
+	best, bestDistance := "", min(maxDistance, (len(word)+1)/2)+1
 	for _, candidate := range known {
 		if difference := len(candidate) - len(word); difference >= bestDistance || -difference >= bestDistance {
 			continue
@@ -19,7 +19,7 @@
 	return best, best != ""
 }
 
-// editDistance is the Levenshtein distance between two words, in bytes.
+// editDistance returns the Levenshtein distance between two words, in bytes.
 func editDistance(left, right string) int {
 	row := make([]int, len(right)+1)
 	for index := range row {
