--- a/internal/membership/machines_test.go
+++ b/internal/membership/machines_test.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestOneWitnessProvesNoLoss checks that a single router, which may itself be partitioned,
-// takes no machine out of use for others, and that observations expire.
-func TestOneWitnessProvesNoLoss(t *testing.T) {
+// TestSingleRouterTakesNoMachineOutOfUse checks that a single router, which may itself be
+// partitioned, takes no machine out of use for others, and that observations expire.
+func TestSingleRouterTakesNoMachineOutOfUse(t *testing.T) {
 	now := time.Unix(1000, 0)
 	machines := NewMachines()
 	machines.Observe(now, Observation{Address: backEnd, State: Gone, Router: "router-1"})
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -277,19 +277,19 @@
 // that wait for a token: each costs its client a round trip to the leader and the leader a
 // message.
 func TestNoMoreRequestsWaitForATokenInALargerFleet(t *testing.T) {
-	alone := 0
+	baseline := 0
 	for _, routers := range []int{1, 66, 132, 1000} {
-		offered, asked := 0, 0
+		offered, tokenRequests := 0, 0
 		for seed := range uint64(10) {
 			usual := 0.3 + float64(seed)
 			f := newFleet(seed, routers, quota.Limit{Rate: 1.6 * usual, Burst: math.Ceil(1.6 * usual)})
 			f.run(usual, 10*time.Second)
-			offered, asked = offered+f.offered, asked+f.tokenRequests
+			offered, tokenRequests = offered+f.offered, tokenRequests+f.tokenRequests
 		}
 		if routers == 1 {
-			alone = asked
+			baseline = tokenRequests
 		}
-		require.LessOrEqual(t, asked, alone, "%d routers, of %d", routers, offered)
+		require.LessOrEqual(t, tokenRequests, baseline, "%d routers, of %d", routers, offered)
 	}
 }
 
@@ -352,22 +352,22 @@
 // started with 3 of its 31 tokens, as after a change of the leader, so that its first requests
 // were refused far below its limit as soon as routers were notified that it is metered.
 func TestANewTenantMayBurstAtOnce(t *testing.T) {
-	ask := func(ledger *quota.Ledger, at time.Time) int {
+	request := func(ledger *quota.Ledger, at time.Time) int {
 		return ledger.Take(at, quota.Message{Router: "a", Wanted: map[string]int{tenant: 100}}).Grants[tenant].Granted
 	}
 	limits := map[string]quota.Limit{tenant: {Rate: 1, Burst: 30}}
 	ledger := quota.NewLedger(tolerance)
 	ledger.SetLimits(start, nil)
 	ledger.SetLimits(start, limits)
-	require.GreaterOrEqual(t, ask(ledger, start), 30)
+	require.GreaterOrEqual(t, request(ledger, start), 30)
 	ledger.SetLimits(start, nil)
 	ledger.SetLimits(start.Add(window/2), limits)
-	require.Less(t, ask(ledger, start.Add(window/2)), 10, "what it spent before counts in the same window")
+	require.Less(t, request(ledger, start.Add(window/2)), 10, "what it spent before counts in the same window")
 
 	after := quota.NewLedger(tolerance)
 	after.SetLimits(start, limits)
-	require.Less(t, ask(after, start), 10, "the previous ledger may have granted the whole limit")
-	require.GreaterOrEqual(t, ask(after, start.Add(window)), 30, "after the window")
+	require.Less(t, request(after, start), 10, "the previous ledger may have granted the whole limit")
+	require.GreaterOrEqual(t, request(after, start.Add(window)), 30, "after the window")
 }
 
 func TestAReportThatIsSentAgainCountsOnce(t *testing.T) {
--- a/internal/registry/departure.go
+++ b/internal/registry/departure.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // NameDeparture records the departure of a server by name. It applies to each incarnation that
-// a directory node first heard of before the departure was applied: if it names an
+// a directory node first knew of before the departure was applied: if it names an
 // incarnation's start time, to those that claim no later one; otherwise to all.
 type NameDeparture struct {
 	Name string `json:"name"`
@@ -21,7 +21,7 @@
 
 // subsumes reports whether another departure of the name adds nothing: this one applies to
 // every incarnation to which that one does, or both name the same incarnation. An incarnation
-// first heard of after a departure started after it, also where that departure is reported
+// first known after a departure started after it, also where that departure is reported
 // again.
 func (n NameDeparture) subsumes(other NameDeparture) bool {
 	if n.Born != 0 && n.Born == other.Born {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -42,7 +42,7 @@
 	State   State  `json:"state"`
 	// Sequence increases with each heartbeat, so that late heartbeats are detected.
 	Sequence uint64 `json:"sequence"`
-	// Index of the first log entry that was not yet applied by the node that first heard of
+	// Index of the first log entry that was not yet applied by the node that first learned of
 	// the instance: a departure of the server at that index or above came later. 0 if the node
 	// does not report it.
 	Since uint64 `json:"since,omitempty"`
--- a/internal/registry/succession.go
+++ b/internal/registry/succession.go
@@ -6,7 +6,7 @@
 // one is active; the others are replaced and get no work, since the process that would reply
 // for them is that of the active one.
 //
-// The active incarnation follows from the order in which they were first heard of and from
+// The active incarnation follows from the order in which they were first received and from
 // their start times. Where both agree, the later incarnation becomes active at once. Where
 // they disagree, a clock was set back or a heartbeat is late: at one address the known
 // incarnation stays active until its heartbeats stop and the other one continues to send. Of
@@ -70,7 +70,7 @@
 //
 // A replaced incarnation has to send them over claimShare of the time after which an instance
 // counts as missing. Several heartbeats may have been delayed and arrive at once; a heartbeat
-// of the active incarnation arrives in between. If another server has the address, calls meant
+// of the active incarnation arrives in between. If another server has the address, calls intended
 // for the ended one are answered with 421.
 const (
 	claimHeartbeats = 2
@@ -109,7 +109,7 @@
 	}
 	t.claims[known.instance.Address] = currentClaim
 	if incumbent != nil && incumbent.outranks(known.instance) {
-		return false // It is a late one of an earlier start.
+		return false // a late heartbeat of an earlier incarnation
 	}
 	if currentClaim.heartbeats < claimHeartbeats || known.instance.Replaced && now.Sub(currentClaim.since) < t.claimTime() {
 		return false
--- a/internal/slicing/slicing_test.go
+++ b/internal/slicing/slicing_test.go
@@ -235,8 +235,8 @@
 	for _, calls := range []float64{0, 300, 2500, 10_000} {
 		site.Calls = calls
 		met := map[string]map[string]bool{}
-		for asker := range 40 {
-			self := slicing.Router{Name: fmt.Sprint("asker", asker), Zone: "a"}
+		for sender := range 40 {
+			self := slicing.Router{Name: fmt.Sprint("asker", sender), Zone: "a"}
 			for shard, by := range observedGatherers(slicing.NewLayout(self, shards, site), shards) {
 				met[shard] = lo.Assign(met[shard], by)
 			}
@@ -265,17 +265,17 @@
 			site.Routers = append(site.Routers, router)
 		}
 	}
-	asked := map[string]int{}
+	slicesPerRouter := map[string]int{}
 	for number := range 200 {
 		self := slicing.Router{Name: fmt.Sprint("asker", number), Zone: "a"}
 		layout := slicing.NewLayout(self, shards, site)
 		first := layout.Assign("first", shards)
 		require.Equal(t, first, layout.Assign("second", shards))
 		for _, slice := range first {
-			asked[slice.Router.Name]++
+			slicesPerRouter[slice.Router.Name]++
 		}
 	}
-	for name, times := range asked {
+	for name, times := range slicesPerRouter {
 		require.InDelta(t, 200*6/24, times, 25, name)
 	}
 	site.Calls = 1e6
