--- a/internal/directory/node.go
+++ b/internal/directory/node.go
@@ -82,7 +82,7 @@
 		logger:             environment.Logger.WithField(logging.FieldNode, config.Name),
 		metrics:            newMetrics(environment.Registerer),
 		started:            steadyclock.Now(),
-		source:             config.Name + "/" + time.Now().Format(time.RFC3339Nano), // Wall clock, since operators read it.
+		source:             config.Name + "/" + time.Now().Format(time.RFC3339Nano), // wall clock, since operators read it.
 		peers:              newPeerClient(),
 		registry:           registry.New(missingHeartbeats*config.HeartbeatInterval, forgetAfter),
 		changed:            make(chan struct{}),
--- a/internal/directory/quarantine.go
+++ b/internal/directory/quarantine.go
@@ -72,7 +72,7 @@
 	if err := checkOrders(request.Orders); err != nil {
 		return QuarantineReply{}, err
 	}
-	now := time.Now().UTC() // Wall clock, since operators read it.
+	now := time.Now().UTC() // wall clock, since operators read it.
 	for index := range request.Orders {
 		request.Orders[index].At = now
 	}
--- a/internal/directory/rollout_steps.go
+++ b/internal/directory/rollout_steps.go
@@ -117,7 +117,7 @@
 	tracked, exists := progressByNumber[current.Number]
 	if !exists {
 		// It was started under another leader.
-		elapsed := time.Since(current.Ordered) // Wall clock: only it is comparable with the other node's timestamp.
+		elapsed := time.Since(current.Ordered) // wall clock: only it is comparable with the other node's timestamp.
 		tracked.startedAt = now.Add(-min(current.Duration, max(0, elapsed)))
 	}
 	if tracked.phase != current.Phase {
@@ -136,7 +136,7 @@
 		return
 	}
 	step := rolloutCommand{Rollout: current, From: current.Phase}
-	step.Phase, step.Why, step.Changed = next.Phase, next.Why, time.Now().UTC() // Wall clock, since operators read it.
+	step.Phase, step.Why, step.Changed = next.Phase, next.Why, time.Now().UTC() // wall clock, since operators read it.
 	proposeCtx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	if _, err := n.propose(proposeCtx, command{Rollouts: []rolloutCommand{step}}); err != nil {
--- a/internal/directory/rollouts.go
+++ b/internal/directory/rollouts.go
@@ -66,7 +66,7 @@
 	var reply startReply
 	err := checkRollout(service, version, duration)
 	if err == nil {
-		ordered := time.Now().UTC() // Wall clock: operators read it, and another leader measures elapsed time from it.
+		ordered := time.Now().UTC() // wall clock: operators read it, and another leader measures elapsed time from it.
 		order := rolloutCommand{Rollout: Rollout{Service: service, Target: version, Duration: duration, By: by, Ordered: ordered}}
 		err = n.onLeader(ctx, func(ctx context.Context) error {
 			started, err := n.startRolloutAsLeader(ctx, order)
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -229,7 +229,7 @@
 func (f *follower) reportQuota(ctx context.Context) {
 	limiter, logged := f.gateway.quotas, false
 	// Each start of a router is a separate sender, so that its sequence numbers start at one.
-	sender := f.gateway.config.Name + "/" + time.Now().Format(time.RFC3339Nano) // Wall clock time, used only to distinguish starts.
+	sender := f.gateway.config.Name + "/" + time.Now().Format(time.RFC3339Nano) // wall clock time, used only to distinguish starts.
 	for sequence := uint64(1); ; sequence++ {
 		round, ok := limiter.next(ctx)
 		if !ok {
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -88,7 +88,7 @@
 // reportRollouts reports observations of the running rollouts to the directory, until the
 // context ends.
 func (f *follower) reportRollouts(ctx context.Context) {
-	incarnation := f.gateway.config.Name + "/" + time.Now().Format(time.RFC3339Nano) // Wall clock time, used only to distinguish starts.
+	incarnation := f.gateway.config.Name + "/" + time.Now().Format(time.RFC3339Nano) // wall clock time, used only to distinguish starts.
 	ticker := time.NewTicker(rolloutReportInterval)
 	defer ticker.Stop()
 	for {
--- a/internal/router/engine_loop.go
+++ b/internal/router/engine_loop.go
@@ -122,7 +122,7 @@
 		arrived.reply <- l.router.refusal(verdict.ReasonOverloaded, "too many requests in flight")
 		return
 	}
-	now := time.Now() // Wall clock: records are compared with those of other machines.
+	now := time.Now() // wall clock: records are compared with those of other machines.
 	l.pending[arrived.request.ID] = pendingRequest{reply: arrived.reply, arrived: now}
 	l.admitting = arrived.request.ID
 	l.step(ctx, query.RequestArrived{Request: arrived.request})
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -273,7 +273,7 @@
 func (r *Router) record(event journal.Event) {
 	event.Source = r.config.Name
 	if event.Time.IsZero() {
-		event.Time = time.Now() // Wall clock: the time is for human readers.
+		event.Time = time.Now() // wall clock: the time is for human readers.
 	}
 	r.events.Record(event)
 }
