--- a/internal/consensus/change.go
+++ b/internal/consensus/change.go
@@ -7,8 +7,8 @@
 	var next Membership
 	next, result.Refusal = c.checkChange(event.Change)
 	if result.Refusal == Accepted {
-		entry := c.appendOwn(EntryMembership, EncodeMembership(next))
-		// In effect from the moment that it is in the log (§4.1).
+		entry := c.appendEntry(EntryMembership, EncodeMembership(next))
+		// A membership takes effect once it is appended, not once committed (§4.1).
 		c.memberships.append(entry.Index, next)
 		c.syncProgress()
 		result.Index, result.Term = entry.Index, entry.Term
@@ -29,8 +29,8 @@
 		return Membership{}, refusal
 	}
 	if change.Kind == PromoteLearner {
-		// Its acknowledgements are sent after its sync, so that match is what its
-		// disk has: losing any minority right after the promotion loses nothing.
+		// Learners acknowledge after syncing, so match is durable on the learner.
+		// Losing any minority right after the promotion loses no committed entry.
 		if member := c.progressOf(change.ID); member == nil || member.match < c.commit {
 			return Membership{}, RefusedLearnerBehind
 		}
@@ -41,14 +41,14 @@
 	return next, Accepted
 }
 
-// startTransfer begins to hand over leadership (§3.10): no new proposals, then
-// the successor is brought up to date and told to campaign.
+// startTransfer begins a leadership transfer (§3.10): proposals are refused,
+// the target's log is brought up to date, then it is sent TimeoutNow.
 func (c *Core) startTransfer(to uint64) {
 	if c.refusal() != Accepted {
 		return
 	}
 	if to == 0 {
-		to = c.longestFollower()
+		to = c.mostUpToDateFollower()
 	}
 	member := c.progressOf(to)
 	if member == nil || !c.membership().IsVoter(to) {
@@ -66,9 +66,9 @@
 	}
 }
 
-// longestFollower returns the answering voter with the highest match index, 0
-// for none.
-func (c *Core) longestFollower() uint64 {
+// mostUpToDateFollower returns the recently active voter with the highest match
+// index, or 0 if there is none.
+func (c *Core) mostUpToDateFollower() uint64 {
 	var best *progress
 	for _, member := range c.leadership.members {
 		if !c.membership().IsVoter(member.id) || !c.recentlyActive(member.id) {
@@ -87,10 +87,10 @@
 // MemberStatus is a member as the leader sees it.
 type MemberStatus struct {
 	Member
-	// Match is the highest index that the member is known to have synced; on
-	// a voter that does not lead, only its own is known.
+	// Match is the highest index that the member is known to have synced. A
+	// non-leader knows only its own.
 	Match uint64
-	// Active says that it answered within an election timeout.
+	// Active reports whether the member responded within an election timeout.
 	Active bool
 }
 
@@ -101,12 +101,12 @@
 	LastIndex     uint64
 	SyncedIndex   uint64
 	SnapshotIndex uint64
-	// TransferTo is the voter that leadership is being handed to, 0 for none.
+	// TransferTo is the target of a leadership transfer in progress, 0 for none.
 	TransferTo uint64
 	Members    []MemberStatus
 }
 
-// Status returns the present state.
+// Status returns the current state.
 func (c *Core) Status() Status {
 	status := Status{
 		SoftState: c.softState(), ID: c.config.ID, LastIndex: c.log.lastIndex(),
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -9,59 +9,59 @@
 	"pgregory.net/rapid"
 )
 
-// unsyncedWrite is a unit of writing that the simulated disk holds in its cache,
-// with the messages that rest on it.
+// unsyncedWrite is a Persist unit in the simulated disk's volatile cache, with
+// the messages that may only be sent once it is synced.
 type unsyncedWrite struct {
 	unit     *Persist
 	messages []Message
 }
 
 // simulatedNode is a core with a disk, a clock and a state machine whose state
-// is a hash over all that it applied.
+// is a hash of all applied entries.
 type simulatedNode struct {
-	id      uint64
-	core    *Core
-	clock   time.Time
-	durable Restored
-	cache   []unsyncedWrite
+	id       uint64
+	core     *Core
+	clock    time.Time
+	durable  Restored
+	unsynced []unsyncedWrite
 
 	applied     uint64
 	appliedHash uint64
-	// leaderTerm and leaderLog are what the node's log held when it last led.
+	// leaderTerm and leaderLog are the term and log of the node when it last led.
 	leaderTerm uint64
 	leaderLog  []Entry
 }
 
 type committedEntry struct {
 	entry Entry
-	// term is that of the voter that was the first to commit it.
+	// term is the term of the voter that committed the entry first.
 	term uint64
 }
 
-// cluster runs cores under a schedule that rapid draws, and checks the five
-// safety properties of Raft (Ongaro 2014, figure 3.2) after every step.
+// cluster runs cores under a schedule drawn by rapid and checks the five safety
+// properties of Raft (Ongaro 2014, figure 3.2) after every step.
 type cluster struct {
-	t       rapid.TB
-	nodes   map[uint64]*simulatedNode
-	ids     []uint64
-	flying  []Message
-	leaders map[uint64]uint64
+	t        rapid.TB
+	nodes    map[uint64]*simulatedNode
+	ids      []uint64
+	inFlight []Message
+	leaders  map[uint64]uint64
 
 	committed map[uint64]committedEntry
 	commit    uint64
 	hashes    map[uint64]uint64
 	tokens    uint64
-	// reads maps the token of an open read to the highest commit before it.
+	// reads maps the token of a pending read to the commit index at its start.
 	reads map[uint64]uint64
 	// confirmedReads, snapshotsInstalled and changes show that the schedules
-	// reach what they are for.
+	// exercise these paths.
 	confirmedReads, snapshotsInstalled, changes int
 }
 
 const (
 	initialVoters = 3
 	clusterSize   = 6
-	maxFlying     = 400
+	maxInFlight   = 400
 )
 
 func newCluster(t rapid.TB) *cluster {
@@ -103,29 +103,29 @@
 	c.step(node, Wake{})
 }
 
-// crash loses what is not synced; units that the disk happened to write are
-// kept although nobody was told.
+// crash discards unsynced writes. The first kept units survive, as if the disk
+// had written them without reporting the sync.
 func (c *cluster) crash(node *simulatedNode, kept int) {
-	for _, write := range node.cache[:kept] {
+	for _, write := range node.unsynced[:kept] {
 		node.write(write.unit)
 	}
-	node.cache, node.core = nil, nil
+	node.unsynced, node.core = nil, nil
 }
 
-// sync makes the oldest units durable, then lets go of their messages.
+// sync makes the oldest units durable, then sends the messages that waited for them.
 func (c *cluster) sync(node *simulatedNode, count int) {
 	if node.core == nil || count == 0 {
 		return
 	}
 	sequence := uint64(0)
-	for _, write := range node.cache[:count] {
+	for _, write := range node.unsynced[:count] {
 		if write.unit != nil {
 			node.write(write.unit)
 			sequence = write.unit.Sequence
 		}
-		c.flying = append(c.flying, write.messages...)
+		c.inFlight = append(c.inFlight, write.messages...)
 	}
-	node.cache = node.cache[count:]
+	node.unsynced = node.unsynced[count:]
 	if sequence > 0 {
 		c.step(node, Persisted{Sequence: sequence})
 	}
@@ -163,16 +163,16 @@
 
 func (c *cluster) step(node *simulatedNode, event Event) Output {
 	output := node.core.Step(node.clock, event)
-	c.flying = append(c.flying, output.Messages...)
+	c.inFlight = append(c.inFlight, output.Messages...)
 	if output.Persist != nil || len(output.AfterPersist) > 0 {
-		node.cache = append(node.cache, unsyncedWrite{unit: output.Persist, messages: output.AfterPersist})
+		node.unsynced = append(node.unsynced, unsyncedWrite{unit: output.Persist, messages: output.AfterPersist})
 	}
-	if len(c.flying) > maxFlying {
-		c.flying = c.flying[len(c.flying)-maxFlying:]
+	if len(c.inFlight) > maxInFlight {
+		c.inFlight = c.inFlight[len(c.inFlight)-maxInFlight:]
 	}
 	c.checkElectionSafety(node, output.State)
 	c.checkLeaderAppendOnly(node)
-	c.noteCommit(node)
+	c.recordCommits(node)
 	c.checkLeaderCompleteness(node)
 	c.apply(node, output)
 	c.checkReads(node, output.Reads)
@@ -205,8 +205,8 @@
 	node.leaderTerm, node.leaderLog = core.hardState.Term, core.log.between(core.log.firstIndex(), core.log.lastIndex())
 }
 
-// noteCommit records new commits, which must be on the disks of a quorum.
-func (c *cluster) noteCommit(node *simulatedNode) {
+// recordCommits records new commits and checks that a quorum has them on disk.
+func (c *cluster) recordCommits(node *simulatedNode) {
 	for index := c.commit + 1; index <= node.core.commit; index++ {
 		entries := node.core.log.between(index, index)
 		if len(entries) == 0 {
--- a/internal/consensus/codec.go
+++ b/internal/consensus/codec.go
@@ -20,8 +20,8 @@
 	})
 }
 
-// DecodeMessage reverses EncodeMessage. It fails on what is no message and on
-// unknown types.
+// DecodeMessage reverses EncodeMessage. It fails on invalid encodings and on
+// unknown message types.
 func DecodeMessage(data []byte) (Message, error) {
 	var decoded martenstagev1.ConsensusMessage
 	if err := proto.Unmarshal(data, &decoded); err != nil {
@@ -98,12 +98,12 @@
 	return snapshotFromProto(&decoded), nil
 }
 
-// marshal encodes deterministically, so that equal memberships are equal bytes.
+// marshal encodes deterministically, so that equal memberships have equal encodings.
 func marshal(message proto.Message) []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
-		// Only invalid UTF-8 in an address can do this; addresses are checked
-		// where they come in.
+		// Only invalid UTF-8 in an address causes this, and addresses are
+		// validated on input.
 		panic(errors.NewAssertionErrorWithWrappedErrf(err, "encoding %T", message))
 	}
 	return data
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -22,26 +22,26 @@
 	memberships membershipLog
 	snapshot    *Snapshot
 	commit      uint64
-	// handedOut is the last index given out for applying.
-	handedOut uint64
+	// deliveredIndex is the last index delivered for applying.
+	deliveredIndex uint64
 
 	persistence persistence
 
-	// electionDeadline is when a non-leader campaigns; leaderContact is when it
-	// last heard from the leader.
+	// electionDeadline is when a non-leader campaigns; leaderContact is the time
+	// of the last message from the leader.
 	electionDeadline time.Time
 	leaderContact    time.Time
 	votes            map[uint64]bool
-	// ledSinceStart says that this voter has led or heard a leader since its start.
-	ledSinceStart bool
-	// transferCampaign says that the election was asked for by the leader.
+	// seenLeaderSinceStart is set once this voter has led or received a message from a leader.
+	seenLeaderSinceStart bool
+	// transferCampaign is set if the leader requested the election by a transfer.
 	transferCampaign bool
 
 	leadership leadership
 }
 
-// New returns a voter that goes on from what its disk held. It fails when the
-// restored state contradicts itself.
+// New returns a voter that continues from the restored state. It fails if the
+// configuration is invalid or the restored state is inconsistent.
 func New(config Config, restored Restored) (*Core, error) {
 	config = config.WithDefaults()
 	if config.ID == 0 {
@@ -59,14 +59,14 @@
 	if err := core.restore(restored); err != nil {
 		return nil, err
 	}
-	core.persistence.restored(core.hardState, core.log.lastIndex())
+	core.persistence.initialize(core.hardState, core.log.lastIndex())
 	return core, nil
 }
 
 func (c *Core) restore(restored Restored) error {
 	if snapshot := restored.Snapshot; snapshot != nil {
 		c.snapshot = snapshot
-		c.commit, c.handedOut = snapshot.Index, snapshot.Index
+		c.commit, c.deliveredIndex = snapshot.Index, snapshot.Index
 		c.memberships.reset(snapshot.Index, snapshot.Membership)
 		c.log.reset(snapshot.Index, snapshot.Term)
 	}
@@ -78,8 +78,8 @@
 		return errors.Newf("consensus: the log begins at %d but the state ends at %d", first.Index, c.commit)
 	}
 	if first.Index <= c.commit {
-		// The entry before the first is gone, and with it the term to check the
-		// first one by; so the first one becomes the base.
+		// The term of the entry before the first one is not stored, so the first
+		// entry becomes the base.
 		c.log.reset(first.Index, first.Term)
 	}
 	for i, entry := range restored.Entries {
@@ -91,8 +91,8 @@
 		}
 	}
 	if c.snapshot != nil && !c.log.matches(c.snapshot.Index, c.snapshot.Term) {
-		// A snapshot was installed, and a crash kept the old log from being
-		// replaced by it.
+		// A crash happened after a snapshot was installed and before it replaced
+		// the old log.
 		c.log.reset(c.snapshot.Index, c.snapshot.Term)
 		c.memberships.reset(c.snapshot.Index, c.snapshot.Membership)
 	}
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// Step handles one event at a time that never goes back and returns what must
-// be done.
+// Step handles one event and returns the actions that the caller must carry
+// out. The time never goes back: an earlier now is ignored.
 func (c *Core) Step(now time.Time, event Event) Output {
 	if now.After(c.now) {
 		c.now = now
@@ -126,15 +126,15 @@
 	}
 	c.output = Output{}
 	c.handle(event)
-	// Deadlines come after the event: a process that slept must take in the
-	// message that waited before it suspects the leader that sent it.
+	// Deadlines are checked after the event: a process that was suspended must
+	// handle a queued message before it suspects the leader that sent it.
 	if !c.halted {
 		c.checkDeadlines()
 	}
 	return c.finish()
 }
 
-// start sets the first deadline. An only voter has nobody to wait for.
+// start sets the first election deadline. A single voter campaigns at once.
 func (c *Core) start() {
 	c.resetElectionDeadline()
 	if c.promotable() && c.membership().Voters() == 1 {
@@ -185,22 +185,22 @@
 	c.resetElectionDeadline()
 }
 
-// finish collects what the step changed into the output.
+// finish adds the state changes of the step to the output.
 func (c *Core) finish() Output {
 	if c.halted {
-		// A voter whose disk failed promises nothing any more.
+		// After a disk failure nothing that depends on a sync may be sent.
 		c.output.Persist, c.output.AfterPersist = nil, nil
 	} else {
 		c.output.Persist = c.persistence.issue(c.hardState, &c.log)
 		if c.persistence.idle() {
-			// Everything is synced already, so the promises may leave at once.
+			// Everything is synced already, so these messages may be sent at once.
 			c.output.Messages = append(c.output.Messages, c.output.AfterPersist...)
 			c.output.AfterPersist = nil
 		}
-		c.handOutCommitted()
+		c.deliverCommitted()
 	}
 	c.output.State = c.softState()
-	c.output.Wake = c.nextWake()
+	c.output.Wake = c.nextDeadline()
 	return c.output
 }
 
@@ -208,7 +208,7 @@
 	return SoftState{Role: c.role, Leader: c.leader, Term: c.hardState.Term, Commit: c.commit, Halted: c.halted}
 }
 
-func (c *Core) nextWake() time.Time {
+func (c *Core) nextDeadline() time.Time {
 	switch {
 	case c.halted:
 		return time.Time{}
@@ -218,40 +218,40 @@
 	return c.electionDeadline
 }
 
-// handOutCommitted gives out entries that are committed and synced here. An
-// entry that is committed elsewhere waits for the local sync, so that the
-// state machine is never ahead of the log that it would be rebuilt from.
-func (c *Core) handOutCommitted() {
-	if restore := c.persistence.takeRestorable(); restore != nil {
+// deliverCommitted delivers entries that are committed and synced locally. An
+// entry committed by other voters waits for the local sync, so that the state
+// machine is never ahead of the log that it would be rebuilt from.
+func (c *Core) deliverCommitted() {
+	if restore := c.persistence.takeSyncedRestore(); restore != nil {
 		c.output.Restore = restore
-		c.handedOut = restore.Index
+		c.deliveredIndex = restore.Index
 	}
 	if c.persistence.restoring() {
 		return
 	}
 	upTo := min(c.commit, c.persistence.lastIndex)
-	if upTo > c.handedOut {
-		c.output.Committed = c.log.between(c.handedOut+1, upTo)
-		c.handedOut = upTo
+	if upTo > c.deliveredIndex {
+		c.output.Committed = c.log.between(c.deliveredIndex+1, upTo)
+		c.deliveredIndex = upTo
 	}
 }
 
-// send queues a message that promises nothing beyond the term.
+// send queues a message that depends on no durable state but the term.
 func (c *Core) send(message Message) {
 	if !c.persistence.hardStateSynced(c.hardState) {
-		// The message shows a term that a crash could still make us forget.
-		c.promise(message)
+		// The message carries a term that would be lost in a crash now.
+		c.sendAfterPersist(message)
 		return
 	}
-	c.output.Messages = append(c.output.Messages, c.stamped(message))
+	c.output.Messages = append(c.output.Messages, c.withSenderAndTerm(message))
 }
 
-// promise queues a message that must not leave before all state is synced.
-func (c *Core) promise(message Message) {
-	c.output.AfterPersist = append(c.output.AfterPersist, c.stamped(message))
+// sendAfterPersist queues a message that must not be sent before all state is synced.
+func (c *Core) sendAfterPersist(message Message) {
+	c.output.AfterPersist = append(c.output.AfterPersist, c.withSenderAndTerm(message))
 }
 
-func (c *Core) stamped(message Message) Message {
+func (c *Core) withSenderAndTerm(message Message) Message {
 	message.From = c.config.ID
 	if message.Term == 0 {
 		message.Term = c.hardState.Term
@@ -261,34 +261,35 @@
 
 func (c *Core) membership() Membership { return c.memberships.current() }
 
-// promotable reports whether this voter may campaign: learners, removed voters
-// and voters that hold no log yet may not.
+// promotable reports whether this voter may campaign. Learners, removed voters
+// and voters without a log may not.
 func (c *Core) promotable() bool { return c.membership().IsVoter(c.config.ID) }
 
-// Parts of the election timeout within which a voter campaigns that has not heard a
-// leader since its start: when all restarted there is nobody to spare, and where there
-// is a leader the voters that hear it give no pre-vote, so that asking costs nothing.
+// Divisors of the election timeout for a voter that has had no contact with a leader
+// since its start. If the whole group restarted, there is no leader to disrupt; if
+// there is a leader, the voters in contact with it reject the pre-vote, so an early
+// campaign is harmless.
 const (
-	startTimeoutPart = 8
-	startJitterPart  = 2
+	startTimeoutDivisor = 8
+	startJitterDivisor  = 2
 )
 
 func (c *Core) resetElectionDeadline() {
-	least, span := c.config.ElectionTimeout, c.config.ElectionTimeout
-	if !c.ledSinceStart {
-		least, span = least/startTimeoutPart, span/startJitterPart
+	minimum, jitter := c.config.ElectionTimeout, c.config.ElectionTimeout
+	if !c.seenLeaderSinceStart {
+		minimum, jitter = minimum/startTimeoutDivisor, jitter/startJitterDivisor
 	}
-	c.electionDeadline = c.now.Add(least + time.Duration(c.random.Int64N(int64(span))))
+	c.electionDeadline = c.now.Add(minimum + time.Duration(c.random.Int64N(int64(jitter))))
 }
 
-// halt ends this voter's part in the group until it is restarted.
+// halt stops this voter from participating in the group until it is restarted.
 func (c *Core) halt() {
 	if c.halted {
 		return
 	}
 	if c.role == Leader {
-		// Only a hint: the receiver still has to win an election by its own log.
-		if successor := c.longestFollower(); successor != 0 {
+		// Only a hint: the receiver must still win an election with its own log.
+		if successor := c.mostUpToDateFollower(); successor != 0 {
 			c.send(Message{Type: MessageTimeoutNow, To: successor})
 		}
 	}
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -1,13 +1,14 @@
 package consensus
 
-// campaign starts a pre-vote (§9.6): the term only goes up once a quorum would
-// vote for us, so that a voter that was cut off disturbs nobody on its return.
+// campaign starts a pre-vote (§9.6): the term is only incremented once a quorum
+// would grant its vote, so that a voter returning from a partition does not
+// disrupt the group.
 func (c *Core) campaign(transfer bool) {
 	c.transferCampaign = transfer
 	c.leader = 0
 	c.resetElectionDeadline()
 	if transfer {
-		// The leader asked for it; nobody has to be spared (§3.10).
+		// The leader requested the election, so no pre-vote is needed (§3.10).
 		c.becomeCandidate()
 		return
 	}
@@ -41,15 +42,15 @@
 			c.send(request)
 			continue
 		}
-		// Our own vote must be synced before anybody can count on our being a
-		// candidate: after a crash we could vote for another in this term (§3.8).
-		c.promise(request)
+		// The candidate's own vote must be synced first: after a crash it could
+		// otherwise vote for another candidate in this term (§3.8).
+		c.sendAfterPersist(request)
 	}
 }
 
 func (c *Core) granted(id uint64) bool { return c.votes[id] }
 
-// countOwnVote counts our vote for ourselves once it is synced.
+// countOwnVote counts the candidate's vote for itself once it is synced.
 func (c *Core) countOwnVote() {
 	if c.persistence.hardStateSynced(c.hardState) {
 		c.votes[c.config.ID] = true
@@ -75,7 +76,7 @@
 	if c.role == Leader {
 		c.endLeadership()
 	}
-	c.ledSinceStart = c.ledSinceStart || leader != 0
+	c.seenLeaderSinceStart = c.seenLeaderSinceStart || leader != 0
 	if c.role != Follower {
 		c.resetElectionDeadline()
 	}
@@ -84,10 +85,10 @@
 	c.votes = nil
 }
 
-// hearsLeader reports whether a leader was heard from within the shortest
-// election timeout. Such a voter ignores candidates, so that neither a removed
-// voter nor one with broken links can depose the leader (§4.2.3).
-func (c *Core) hearsLeader() bool {
+// hasRecentLeaderContact reports whether a message from a leader arrived within
+// the minimum election timeout. Such a voter ignores candidates, so that neither
+// a removed voter nor one with failing links can depose the leader (§4.2.3).
+func (c *Core) hasRecentLeaderContact() bool {
 	if c.role == Leader {
 		return true
 	}
@@ -104,21 +105,21 @@
 }
 
 func (c *Core) handleVote(message Message) {
-	free := c.hardState.Vote == message.From || (c.hardState.Vote == 0 && c.leader == 0)
-	if !free || !c.mayVote(message) {
+	voteAvailable := c.hardState.Vote == message.From || (c.hardState.Vote == 0 && c.leader == 0)
+	if !voteAvailable || !c.mayVote(message) {
 		c.send(Message{Type: MessageVoteResponse, To: message.From, Reject: true})
 		return
 	}
 	c.hardState.Vote = message.From
 	c.resetElectionDeadline()
-	// The vote must be synced before it is sent: a voter that forgets it in a
-	// crash could vote twice in a term, and elect two leaders (§3.8).
-	c.promise(Message{Type: MessageVoteResponse, To: message.From})
+	// The vote must be synced before it is sent: a voter that loses it in a crash
+	// could vote twice in a term and so elect two leaders (§3.8).
+	c.sendAfterPersist(Message{Type: MessageVoteResponse, To: message.From})
 }
 
-// mayVote reports whether the candidate's log holds every entry that this voter
-// acknowledged (§3.6.1). A voter without any log gives no vote: it is new, or it
-// lost its disk and has forgotten what it acknowledged.
+// mayVote reports whether the candidate's log is at least as up-to-date as this
+// voter's (§3.6.1). A voter with an empty log grants no vote: it is new, or it
+// lost its disk and with it the entries that it acknowledged.
 func (c *Core) mayVote(message Message) bool {
 	return c.log.lastIndex() > 0 && c.log.upToDate(message.LogIndex, message.LogTerm)
 }
--- a/internal/consensus/fuzz_test.go
+++ b/internal/consensus/fuzz_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fuzzDecoder feeds bytes to a decoder: an error, or a value that survives being
-// encoded again.
+// fuzzDecoder checks that a decoder either fails or returns a value that
+// round-trips through the encoder.
 func fuzzDecoder[T any](f *testing.F, encode func(T) []byte, decode func([]byte) (T, error), seeds ...T) {
 	for _, seed := range seeds {
 		f.Add(encode(seed))
@@ -17,9 +17,9 @@
 		if err != nil {
 			return
 		}
-		again, err := decode(encode(value))
+		decodedAgain, err := decode(encode(value))
 		require.NoError(t, err)
-		require.Equal(t, value, again)
+		require.Equal(t, value, decodedAgain)
 	})
 }
 
@@ -48,8 +48,8 @@
 	fuzzDecoder(f, encode, DecodeSnapshot, &seedSnapshot)
 }
 
-// FuzzReceive feeds decoded messages of every kind to a voter: whatever they
-// say, it neither panics nor commits what it does not hold.
+// FuzzReceive checks that no message makes a voter panic or commit an entry that
+// it does not hold.
 func FuzzReceive(f *testing.F) {
 	f.Add(EncodeMessage(Message{Type: MessageAppend, From: 2, To: 1, Term: 2, LogIndex: 1, LogTerm: 1, Commit: 9,
 		Entries: []Entry{{Index: 2, Term: 2}}}), EncodeMessage(Message{Type: MessageVote, From: 3, To: 1, Term: 5, LogIndex: 9, LogTerm: 4}))
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// leadership is the state of a leader, made anew with each term that it leads.
+// leadership is the volatile state of a leader, reset when it wins an election.
 type leadership struct {
-	// members holds the others' progress, ordered by id.
+	// members holds the progress of the other members, ordered by id.
 	members      []*progress
 	heartbeatDue time.Time
-	// uncommittedBytes is the size of the data that is not committed yet.
+	// uncommittedBytes is the total size of uncommitted entries.
 	uncommittedBytes int
-	// firstIndex is that of the entry that opened the term.
+	// firstIndex is the index of the leader's first entry in its term.
 	firstIndex uint64
 	reads      pendingReads
-	// transferTo is the voter that is to take over, 0 for none.
+	// transferTo is the target of a leadership transfer, 0 for none.
 	transferTo       uint64
 	transferDeadline time.Time
 }
 
 func (c *Core) becomeLeader() {
-	c.role, c.leader, c.votes, c.ledSinceStart = Leader, c.config.ID, nil, true
+	c.role, c.leader, c.votes, c.seenLeaderSinceStart = Leader, c.config.ID, nil, true
 	c.leadership = leadership{firstIndex: c.log.lastIndex() + 1}
 	c.syncProgress()
-	// Entries of earlier terms are only committed through one of our own term
-	// (§3.6.2), so there is one at once.
-	c.appendOwn(EntryNoop, nil)
+	// Entries of earlier terms are only committed together with one of the
+	// leader's term (§3.6.2), so it appends a no-op at once.
+	c.appendEntry(EntryNoop, nil)
 	c.broadcastHeartbeat()
 	c.replicate()
 }
@@ -38,7 +38,7 @@
 	c.leadership = leadership{}
 }
 
-// syncProgress makes the progress list follow the membership.
+// syncProgress updates the progress list to match the membership.
 func (c *Core) syncProgress() {
 	var members []*progress
 	for _, member := range c.membership().Members {
@@ -47,7 +47,7 @@
 		}
 		existing := c.progressOf(member.ID)
 		if existing == nil {
-			existing = &progress{id: member.ID, next: c.log.lastIndex() + 1, active: c.now}
+			existing = &progress{id: member.ID, next: c.log.lastIndex() + 1, lastActive: c.now}
 		}
 		members = append(members, existing)
 	}
@@ -63,10 +63,10 @@
 	return nil
 }
 
-// appendOwn appends an entry of the leader's term. The leader may send it to
-// followers before its own disk has it, since it counts itself towards the
-// quorum only after its own sync (§10.2.1); see quorumIndex.
-func (c *Core) appendOwn(kind EntryKind, data []byte) Entry {
+// appendEntry appends an entry in the leader's term. The leader may send it to
+// followers before its own sync, since it counts itself towards the quorum only
+// after that sync (§10.2.1); see quorumIndex.
+func (c *Core) appendEntry(kind EntryKind, data []byte) Entry {
 	entry := Entry{Index: c.log.lastIndex() + 1, Term: c.hardState.Term, Kind: kind, Data: data}
 	c.log.append([]Entry{entry})
 	c.leadership.uncommittedBytes += entry.size()
@@ -82,13 +82,13 @@
 	case c.leadership.uncommittedBytes > c.config.MaxUncommittedBytes:
 		result.Refusal = RefusedOverloaded
 	default:
-		entry := c.appendOwn(EntryData, proposal.Data)
+		entry := c.appendEntry(EntryData, proposal.Data)
 		result.Index, result.Term = entry.Index, entry.Term
 	}
 	c.output.Proposals = append(c.output.Proposals, result)
 }
 
-// refusal returns why this voter appends nothing at present.
+// refusal returns why this voter can't append entries now, or Accepted.
 func (c *Core) refusal() Refusal {
 	switch {
 	case c.halted:
@@ -102,8 +102,8 @@
 }
 
 func (c *Core) checkLeaderDeadlines() {
-	if !c.quorumAnswers() {
-		// A leader that is cut off must not go on calling itself leader (§6.2).
+	if !c.quorumActive() {
+		// A leader that can't reach a quorum steps down (§6.2).
 		c.becomeFollower(c.hardState.Term, 0)
 		return
 	}
@@ -115,7 +115,7 @@
 	}
 }
 
-func (c *Core) quorumAnswers() bool {
+func (c *Core) quorumActive() bool {
 	return c.membership().hasQuorum(c.recentlyActive)
 }
 
@@ -124,11 +124,11 @@
 		return true
 	}
 	member := c.progressOf(id)
-	return member != nil && c.now.Sub(member.active) < c.config.ElectionTimeout
+	return member != nil && c.now.Sub(member.lastActive) < c.config.ElectionTimeout
 }
 
-// broadcastHeartbeat starts a new round, which also confirms the waiting reads
-// when a quorum answers it.
+// broadcastHeartbeat starts a new heartbeat round. A quorum of responses also
+// confirms the queued reads.
 func (c *Core) broadcastHeartbeat() {
 	c.leadership.heartbeatDue = c.now.Add(c.config.Heartbeat)
 	round := c.leadership.reads.startRound(c.committedInTerm())
@@ -141,22 +141,22 @@
 	c.confirmReads()
 }
 
-// handleFollowerResponse takes in what a member of our term answered.
+// handleFollowerResponse handles an append or heartbeat response of this term.
 func (c *Core) handleFollowerResponse(message Message) {
 	member := c.progressOf(message.From)
 	if member == nil {
 		return
 	}
-	member.active = c.now
+	member.lastActive = c.now
 	switch {
 	case message.Type == MessageHeartbeatResponse:
 		member.round = max(member.round, message.Round)
 		c.confirmReads()
-		c.resend(member)
+		c.resendLost(member)
 	case message.Reject:
 		c.handleReject(member, message)
 	case message.LogIndex <= c.log.lastIndex():
-		if member.acknowledged(message.LogIndex) {
+		if member.recordAcknowledgement(message.LogIndex) {
 			c.advanceCommit()
 		}
 		c.sendAppends(member)
@@ -164,7 +164,7 @@
 	}
 }
 
-// handleReject goes back to where the logs may match (§3.5).
+// handleReject moves next back to the last index where the logs may match (§3.5).
 func (c *Core) handleReject(member *progress, message Message) {
 	stale := message.LogIndex <= member.match || member.state == sendingSnapshot ||
 		(member.state == probing && message.LogIndex != member.next-1)
@@ -172,19 +172,19 @@
 		return
 	}
 	next := c.log.lastAtOrBelowTerm(message.HintIndex, message.HintTerm) + 1
-	member.probe(min(next, message.LogIndex))
+	member.becomeProbing(min(next, message.LogIndex))
 	c.sendAppends(member)
 }
 
-// resend answers a heartbeat response of a follower that lacks entries: the
-// messages that carried them may have been lost.
-func (c *Core) resend(member *progress) {
+// resendLost sends entries again to a follower that responded to a heartbeat but
+// lacks entries, since the messages that carried them may have been lost.
+func (c *Core) resendLost(member *progress) {
 	switch member.state {
 	case probing:
 		member.probeSent = false
 	case sendingSnapshot:
-		if c.now.Sub(member.snapshotSent) >= c.snapshotResend() {
-			member.probe(member.match + 1)
+		if c.now.Sub(member.snapshotSentAt) >= c.snapshotResend() {
+			member.becomeProbing(member.match + 1)
 		}
 	case replicating:
 		if member.match < member.next-1 {
@@ -197,15 +197,15 @@
 	}
 }
 
-// snapshotResendTimeouts is after how many election timeouts a snapshot that
-// was not acknowledged is sent again.
+// snapshotResendTimeouts is the number of election timeouts after which an
+// unacknowledged snapshot is sent again.
 const snapshotResendTimeouts = 6
 
 func (c *Core) snapshotResend() time.Duration {
 	return snapshotResendTimeouts * c.config.ElectionTimeout
 }
 
-// replicate sends what is new to every member.
+// replicate sends new entries and commit indexes to every member.
 func (c *Core) replicate() {
 	if c.role != Leader {
 		return
@@ -215,10 +215,10 @@
 	}
 }
 
-// sendAppends sends entries as far as flow control lets it, or at least a
-// commit index that the follower does not know.
+// sendAppends sends entries as far as flow control allows, or an empty append if
+// the follower lacks the latest commit index.
 func (c *Core) sendAppends(member *progress) {
-	for !member.blocked(c.config.MaxInflight) {
+	for !member.paused(c.config.MaxInflight) {
 		if member.next < c.log.firstIndex() {
 			c.sendSnapshot(member)
 			return
@@ -242,7 +242,7 @@
 		Entries: entries, Commit: c.commit,
 	})
 	member.commitSent = c.commit
-	member.sent(previous+uint64(len(entries)), len(entries))
+	member.recordSent(previous+uint64(len(entries)), len(entries))
 }
 
 func (c *Core) sendSnapshot(member *progress) {
@@ -250,18 +250,18 @@
 		return
 	}
 	member.state = sendingSnapshot
-	member.snapshotIndex, member.snapshotSent = c.snapshot.Index, c.now
+	member.snapshotIndex, member.snapshotSentAt = c.snapshot.Index, c.now
 	c.send(Message{Type: MessageSnapshot, To: member.id, Snapshot: c.snapshot})
 }
 
-// usualMembers is more than a group of five has while one is replaced.
-const usualMembers = 8
+// typicalMembers is more than the members of a group of five during a replacement.
+const typicalMembers = 8
 
-// quorumIndex is the highest index that a quorum of voters has synced. The
-// leader itself counts only with what its own disk has synced.
+// quorumIndex returns the highest index that a quorum of voters has synced. The
+// leader counts itself only up to its own last synced index.
 func (c *Core) quorumIndex() uint64 {
-	// Room for the usual number of members, which needs no allocation.
-	synced := make([]uint64, 0, usualMembers)
+	// The constant capacity avoids a heap allocation for typical groups.
+	synced := make([]uint64, 0, typicalMembers)
 	for _, member := range c.membership().Members {
 		switch {
 		case member.Learner:
@@ -278,8 +278,8 @@
 	return synced[len(synced)-c.membership().Quorum()]
 }
 
-// advanceCommit commits what a quorum has synced, if it is of this term: an
-// entry of an earlier term can still be overwritten (§3.6.2).
+// advanceCommit commits up to the index that a quorum has synced, if that entry
+// is of this term: an entry of an earlier term can still be overwritten (§3.6.2).
 func (c *Core) advanceCommit() {
 	index := c.quorumIndex()
 	if term, _ := c.log.term(index); index <= c.commit || term != c.hardState.Term {
@@ -295,9 +295,9 @@
 		c.becomeFollower(c.hardState.Term, 0)
 		return
 	}
-	c.releaseEarlyReads()
+	c.queueEarlyReads()
 }
 
-// committedInTerm reports whether an entry of the leader's term is committed;
-// before that it does not know the commit index of the group (§6.4).
+// committedInTerm reports whether an entry of the leader's term is committed.
+// Before that the leader does not know the group's commit index (§6.4).
 func (c *Core) committedInTerm() bool { return c.commit >= c.leadership.firstIndex }
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// entryLog is the log in memory: the entries behind the last compaction, and
-// the index and term of the entry that precedes them.
+// entryLog is the in-memory log: the entries after the last compaction, and the
+// index and term of the entry that precedes them.
 type entryLog struct {
 	baseIndex uint64
 	baseTerm  uint64
@@ -18,7 +18,7 @@
 	return term
 }
 
-// term returns the term of an entry; false when the log does not hold it.
+// term returns the term of an entry, or false if the log does not hold it.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.baseIndex {
 		return l.baseTerm, true
@@ -44,7 +44,7 @@
 	return l.entries[low:high:high]
 }
 
-// batch returns entries from an index on, up to a size but at least one.
+// batch returns entries starting at an index, at least one and up to maxBytes.
 func (l *entryLog) batch(from uint64, maxBytes int) []Entry {
 	if from > l.lastIndex() {
 		return nil
@@ -60,12 +60,12 @@
 	return entries
 }
 
-// append adds entries after removing everything from entries[0].Index on.
+// append removes all entries from entries[0].Index on, then adds the new ones.
 func (l *entryLog) append(entries []Entry) {
 	keep := entries[0].Index - l.firstIndex()
 	if keep < uint64(len(l.entries)) {
-		// Slices handed out earlier share the array, so that an overwritten tail
-		// needs a new one.
+		// Slices returned earlier share the backing array, so replacing the tail
+		// needs a new array.
 		l.entries = slices.Clip(l.entries[:keep])
 	}
 	l.entries = append(l.entries, entries...)
@@ -85,8 +85,8 @@
 	l.baseIndex, l.baseTerm, l.entries = index, term, nil
 }
 
-// lastAtOrBelowTerm returns the highest index, up to a bound, whose term is not
-// above the given one.
+// lastAtOrBelowTerm returns the highest index, no higher than the given one,
+// whose term is at most the given term.
 func (l *entryLog) lastAtOrBelowTerm(index, term uint64) uint64 {
 	index = min(index, l.lastIndex())
 	for index > l.baseIndex {
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -6,15 +6,16 @@
 type Member struct {
 	ID      uint64
 	Address string
-	// Learner receives the log but neither votes nor counts (§4.2.1).
+	// Learner is set for a member that receives the log but neither votes nor
+	// counts towards a quorum (§4.2.1).
 	Learner bool
 }
 
 // Membership is the set of voters and learners, ordered by id.
 type Membership struct {
 	Members []Member
-	// Removed are the ids that were members before. They can't return: a machine
-	// that lost its disk would have forgotten its votes.
+	// Removed are the ids of former members. They can't be reused: a machine that
+	// lost its disk has lost its votes.
 	Removed []uint64
 }
 
@@ -83,7 +84,7 @@
 	// commit index.
 	PromoteLearner
 	RemoveMember
-	// MoveMember changes a member's address, and no quorum.
+	// MoveMember changes a member's address; quorums stay the same.
 	MoveMember
 )
 
@@ -94,7 +95,7 @@
 	Address string
 }
 
-// with returns the membership after a change, or why there is none.
+// with returns the membership after a change, or the reason for refusing it.
 func (m Membership) with(change Change) (Membership, Refusal) {
 	next := Membership{Members: slices.Clone(m.Members), Removed: slices.Clone(m.Removed)}
 	position := slices.IndexFunc(m.Members, func(member Member) bool { return member.ID == change.ID })
@@ -131,16 +132,16 @@
 	return m, RefusedUnknownMember
 }
 
-// positionedMembership is a membership with the index of its entry.
-type positionedMembership struct {
+// indexedMembership is a membership with the index of its entry.
+type indexedMembership struct {
 	index      uint64
 	membership Membership
 }
 
-// membershipLog holds the membership of the snapshot and of each membership
-// entry behind it. The last one is in effect, committed or not (§4.1).
+// membershipLog holds the membership of the snapshot and of each later
+// membership entry. The last one is in effect, committed or not (§4.1).
 type membershipLog struct {
-	versions []positionedMembership
+	versions []indexedMembership
 }
 
 func (l *membershipLog) current() Membership {
@@ -168,18 +169,18 @@
 }
 
 func (l *membershipLog) append(index uint64, membership Membership) {
-	l.versions = append(l.versions, positionedMembership{index: index, membership: membership})
+	l.versions = append(l.versions, indexedMembership{index: index, membership: membership})
 }
 
-// truncate forgets the memberships from an index on, because their entries
-// were overwritten (§4.1).
+// truncate removes the memberships from an index on, whose entries were
+// overwritten (§4.1).
 func (l *membershipLog) truncate(from uint64) {
 	for len(l.versions) > 0 && l.currentIndex() >= from {
 		l.versions = l.versions[:len(l.versions)-1]
 	}
 }
 
-// compact forgets memberships that were superseded at an index.
+// compact removes memberships that were superseded at or before an index.
 func (l *membershipLog) compact(to uint64) {
 	for len(l.versions) > 1 && l.versions[1].index <= to {
 		l.versions = l.versions[1:]
@@ -187,5 +188,5 @@
 }
 
 func (l *membershipLog) reset(index uint64, membership Membership) {
-	l.versions = []positionedMembership{{index: index, membership: membership}}
+	l.versions = []indexedMembership{{index: index, membership: membership}}
 }
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -1,9 +1,9 @@
 package consensus
 
-// MessageType tells what a message asks or answers.
+// MessageType is the kind of a request or response.
 type MessageType uint8
 
-// Message types. Requests and their responses follow each other.
+// Message types. Each response type follows its request type.
 const (
 	MessagePreVote MessageType = iota + 1
 	MessagePreVoteResponse
@@ -14,12 +14,12 @@
 	MessageHeartbeat
 	MessageHeartbeatResponse
 	MessageSnapshot
-	// MessageTimeoutNow asks the receiver to start an election at once (§3.10).
+	// MessageTimeoutNow makes the receiver start an election at once (§3.10).
 	MessageTimeoutNow
 )
 
-// Message is what voters send each other. Messages may be lost, repeated and
-// reordered. Fields that a type does not name are zero.
+// Message is exchanged between members. Messages may be lost, duplicated and
+// reordered. Fields that a type does not use are zero.
 type Message struct {
 	Type MessageType
 	From uint64
@@ -27,9 +27,8 @@
 	// Term of the sender; for pre-votes, the term that the sender would
 	// campaign in.
 	Term uint64
-	// FromAddress is where the sender can be reached. It is filled in by the
-	// transport's user, so that a new learner can answer before it holds the
-	// membership.
+	// FromAddress is the sender's address. The caller fills it in, so that a new
+	// learner can respond before it holds the membership.
 	FromAddress string
 
 	// LogIndex and LogTerm are, for votes, the sender's last entry; for appends,
@@ -39,19 +38,19 @@
 	LogIndex uint64
 	LogTerm  uint64
 	Entries  []Entry
-	// Commit is the leader's commit index, in a heartbeat no higher than what
-	// the follower is known to hold.
+	// Commit is the leader's commit index; in a heartbeat, at most the follower's
+	// match index.
 	Commit uint64
 	// Round numbers heartbeats, so that a response confirms reads (§6.4).
 	Round uint64
-	// Reject says that a vote is not granted or that an append did not match.
+	// Reject is set if a vote is not granted or an append did not match.
 	Reject bool
-	// HintIndex and HintTerm are the last entry of the rejecting follower that
-	// may match the leader's log, judged by its term.
+	// HintIndex and HintTerm identify the last entry of the rejecting follower
+	// that may match the leader's log, judged by its term.
 	HintIndex uint64
 	HintTerm  uint64
 	// Transfer marks a vote request of a leadership transfer, which voters
-	// answer even while they hear from a leader (§4.2.3).
+	// answer even while they are in contact with a leader (§4.2.3).
 	Transfer bool
 	Snapshot *Snapshot
 }
--- a/internal/consensus/output.go
+++ b/internal/consensus/output.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// Output is what the caller must do after a Step, in the order of the fields.
-// Nothing in it may be changed.
+// Output holds the actions that the caller must carry out after a Step, in the
+// order of the fields. The caller must not modify it.
 type Output struct {
-	// Messages may leave at once.
+	// Messages may be sent at once.
 	Messages []Message
 
-	// Persist is to be written and synced; nil when there is nothing new. Writes
-	// happen in the order of their sequence numbers; several may share a sync.
-	// Persisted is to be stepped afterwards, a failure as DiskFailed.
+	// Persist must be written and synced; nil if there is nothing new. Writes
+	// happen in sequence order; several may share a sync. Afterwards the caller
+	// steps Persisted, or DiskFailed on failure.
 	Persist *Persist
 
-	// AfterPersist are promises. They may leave only once every Persist given
-	// out so far, this Output's and earlier ones, is synced: a vote that is
-	// forgotten in a crash can elect two leaders in a term, and an
-	// acknowledgement that is forgotten can lose a committed entry.
+	// AfterPersist messages may be sent only once this Persist and all earlier
+	// ones are synced: a vote lost in a crash can elect two leaders in a term,
+	// and a lost acknowledged entry can lose a committed entry.
 	AfterPersist []Message
 
-	// Restore replaces the state of the state machine, before Committed. Its
-	// snapshot is synced.
+	// Restore replaces the state of the state machine before Committed is
+	// applied. The snapshot is synced.
 	Restore *Snapshot
-	// Committed entries are to be applied in order. They are synced locally.
+	// Committed entries must be applied in order. They are synced locally.
 	Committed []Entry
 
-	// Proposals and Reads answer events by their tokens.
+	// Proposals and Reads are the results of requests, matched by token.
 	Proposals []ProposalResult
 	Reads     []ReadResult
 
-	// State after the Step.
+	// State is the soft state after the Step.
 	State SoftState
-	// Wake is when Wake must be stepped, at the latest; zero for never.
+	// Wake is the time at which the caller must step the next timer event, at the
+	// latest; zero for never.
 	Wake time.Time
 }
 
-// Persist is one atomic unit of writing.
+// Persist is one atomic write.
 type Persist struct {
 	// Sequence numbers count up from 1 without gaps.
 	Sequence uint64
 	// Snapshot is written before all else; nil for none.
 	Snapshot *Snapshot
-	// ReplaceLog says that the log is dropped in favor of Snapshot.
+	// ReplaceLog is set if Snapshot replaces the whole log.
 	ReplaceLog bool
-	// HardState replaces the stored one; nil leaves it.
+	// HardState replaces the stored one; nil keeps it.
 	HardState *HardState
 	// Entries are appended after everything from Entries[0].Index on is removed.
 	Entries []Entry
@@ -52,7 +52,7 @@
 	CompactTo uint64
 }
 
-// SoftState is what a voter knows of its group; lost in a restart.
+// SoftState is a voter's volatile view of its group; it is lost on restart.
 type SoftState struct {
 	Role Role
 	// Leader is 0 when none is known.
@@ -63,19 +63,19 @@
 	Halted bool
 }
 
-// Refusal says why an event was not carried out. All refusals are proofs that
-// nothing was appended.
+// Refusal is the reason why a request was refused. Every refusal other than
+// Accepted guarantees that nothing was appended.
 type Refusal uint8
 
 // Refusals.
 const (
-	// Accepted is no refusal.
+	// Accepted means that the request was not refused.
 	Accepted Refusal = iota
 	RefusedNotLeader
-	// RefusedTransferring: leadership is being handed over.
+	// RefusedTransferring: a leadership transfer is in progress.
 	RefusedTransferring
-	// RefusedOverloaded: the bound of uncommitted entries or of waiting reads
-	// is reached.
+	// RefusedOverloaded: the limit of uncommitted entries or pending reads is
+	// reached.
 	RefusedOverloaded
 	RefusedTooLarge
 	// RefusedHalted: the disk failed.
@@ -90,12 +90,11 @@
 	// RefusedIDInUse: the member exists, or existed before; ids are not reused.
 	RefusedIDInUse
 	RefusedLastVoter
-	// RefusedNoQuorum: the voters that answer would not be a quorum after the
-	// change.
+	// RefusedNoQuorum: the active voters would not be a quorum after the change.
 	RefusedNoQuorum
 )
 
-// String returns the refusal in words.
+// String returns a description of the refusal.
 func (r Refusal) String() string {
 	names := [...]string{
 		"accepted", "not the leader", "leadership is being transferred", "overloaded", "too large",
@@ -109,9 +108,9 @@
 	return names[r]
 }
 
-// ProposalResult answers a proposal or a membership change. When Refusal is
-// Accepted the entry is in the leader's log at Index and Term. It is committed
-// if and only if an entry of that index and term is handed out for applying.
+// ProposalResult is the result of a proposal or a membership change. If Refusal
+// is Accepted, the entry is in the leader's log at Index and Term. It is committed
+// if and only if an entry with that index and term is delivered in Committed.
 type ProposalResult struct {
 	Token   uint64
 	Refusal Refusal
@@ -119,8 +118,8 @@
 	Term    uint64
 }
 
-// ReadResult answers ConfirmRead: once the local state machine has applied
-// Index, it reflects every commit made before the event.
+// ReadResult is the result of ConfirmRead: once the local state machine has
+// applied Index, it reflects every commit made before the event.
 type ReadResult struct {
 	Token   uint64
 	Refusal Refusal
--- a/internal/consensus/persistence.go
+++ b/internal/consensus/persistence.go
@@ -1,22 +1,22 @@
 package consensus
 
-// persistence tracks what was given out for writing and what of it is synced.
+// persistence tracks which writes were issued and which of them are synced.
 type persistence struct {
-	// issued and synced are sequence numbers of Persist.
+	// issued and synced are the last issued and synced Persist sequence numbers.
 	issued uint64
 	synced uint64
-	// hardState is the one last given out, hardStateSequence its Persist.
+	// hardState is the last one issued, hardStateSequence that of its Persist.
 	hardState         HardState
 	hardStateSequence uint64
-	// nextIndex is the first entry that was not given out yet.
+	// nextIndex is the first entry not issued yet.
 	nextIndex uint64
-	// lastIndex is the last entry that is synced.
+	// lastIndex is the last synced entry.
 	lastIndex uint64
-	waiting   []issuedEntries
-	// restore waits for the sync of its snapshot.
+	unsynced  []issuedEntries
+	// restore is an installed snapshot that is not synced or delivered yet.
 	restore         *Snapshot
 	restoreSequence uint64
-	// snapshot and compactTo are to go into the next Persist.
+	// snapshot, replaceLog and compactTo go into the next Persist.
 	snapshot   *Snapshot
 	replaceLog bool
 	compactTo  uint64
@@ -27,7 +27,7 @@
 	lastIndex uint64
 }
 
-func (p *persistence) restored(hardState HardState, lastIndex uint64) {
+func (p *persistence) initialize(hardState HardState, lastIndex uint64) {
 	p.hardState = hardState
 	p.nextIndex, p.lastIndex = lastIndex+1, lastIndex
 }
@@ -39,18 +39,18 @@
 	return p.hardState == current && p.synced >= p.hardStateSequence
 }
 
-// truncated takes back what was said of entries from an index on.
-func (p *persistence) truncated(from uint64) {
+// truncate marks entries from an index on as neither issued nor synced.
+func (p *persistence) truncate(from uint64) {
 	p.nextIndex = min(p.nextIndex, from)
 	p.lastIndex = min(p.lastIndex, from-1)
-	for i := range p.waiting {
-		p.waiting[i].lastIndex = min(p.waiting[i].lastIndex, from-1)
+	for i := range p.unsynced {
+		p.unsynced[i].lastIndex = min(p.unsynced[i].lastIndex, from-1)
 	}
 }
 
 // install replaces the log by a snapshot.
 func (p *persistence) install(snapshot *Snapshot) {
-	p.waiting = nil
+	p.unsynced = nil
 	p.nextIndex, p.lastIndex = snapshot.Index+1, 0
 	p.snapshot, p.replaceLog, p.compactTo = snapshot, true, 0
 	p.restore, p.restoreSequence = snapshot, p.issued+1
@@ -58,8 +58,8 @@
 
 func (p *persistence) restoring() bool { return p.restore != nil }
 
-// takeRestorable returns an installed snapshot once it is synced.
-func (p *persistence) takeRestorable() *Snapshot {
+// takeSyncedRestore returns an installed snapshot once it is synced.
+func (p *persistence) takeSyncedRestore() *Snapshot {
 	if p.restore == nil || p.synced < p.restoreSequence {
 		return nil
 	}
@@ -68,7 +68,7 @@
 	return restore
 }
 
-// issue returns the Persist for what is new, nil for nothing.
+// issue returns a Persist with all changes not issued yet, nil if there are none.
 func (p *persistence) issue(hardState HardState, log *entryLog) *Persist {
 	changed := hardState != p.hardState
 	if !changed && p.nextIndex > log.lastIndex() && p.snapshot == nil {
@@ -79,29 +79,30 @@
 	p.snapshot, p.replaceLog, p.compactTo = nil, false, 0
 	if changed {
 		p.hardState, p.hardStateSequence = hardState, p.issued
-		// A copy, so that a call that changes nothing allocates nothing.
-		kept := hardState
-		persist.HardState = &kept
+		// Copied here so that the parameter does not escape to the heap when
+		// nothing changed.
+		issuedState := hardState
+		persist.HardState = &issuedState
 	}
 	persist.Entries = log.between(p.nextIndex, log.lastIndex())
 	p.nextIndex = log.lastIndex() + 1
 	if len(persist.Entries) > 0 || persist.ReplaceLog {
-		p.waiting = append(p.waiting, issuedEntries{sequence: p.issued, lastIndex: log.lastIndex()})
+		p.unsynced = append(p.unsynced, issuedEntries{sequence: p.issued, lastIndex: log.lastIndex()})
 	}
 	return persist
 }
 
-// persisted notes that every Persist up to a sequence is synced.
+// persisted records that every Persist up to a sequence is synced.
 func (p *persistence) persisted(sequence uint64) {
 	p.synced = max(p.synced, min(sequence, p.issued))
-	for len(p.waiting) > 0 && p.waiting[0].sequence <= p.synced {
-		p.lastIndex = max(p.lastIndex, p.waiting[0].lastIndex)
-		p.waiting = p.waiting[1:]
+	for len(p.unsynced) > 0 && p.unsynced[0].sequence <= p.synced {
+		p.lastIndex = max(p.lastIndex, p.unsynced[0].lastIndex)
+		p.unsynced = p.unsynced[1:]
 	}
 }
 
-// persisted takes in a sync: only now do the voter's own vote and its own
-// entries count.
+// persisted handles a completed sync: only now do the voter's own vote and
+// entries count towards a quorum.
 func (c *Core) persisted(sequence uint64) {
 	c.persistence.persisted(sequence)
 	switch c.role {
@@ -112,12 +113,12 @@
 	}
 }
 
-// snapshotTaken keeps a snapshot of the applied state and drops the log before
-// the previous one. What lies between the two serves followers that are a
-// little behind, and lets a restart fall back to the previous file.
+// snapshotTaken stores a snapshot of the applied state and compacts the log up to
+// the previous one. The entries between the two serve slightly lagging followers
+// and let a restart fall back to the previous snapshot file.
 func (c *Core) snapshotTaken(index uint64, data []byte) {
-	term, held := c.log.term(index)
-	if c.halted || !held || index > c.handedOut || len(data) > c.config.MaxSnapshotBytes ||
+	term, found := c.log.term(index)
+	if c.halted || !found || index > c.deliveredIndex || len(data) > c.config.MaxSnapshotBytes ||
 		(c.snapshot != nil && index <= c.snapshot.Index) || c.persistence.restoring() {
 		return
 	}
--- a/internal/consensus/progress.go
+++ b/internal/consensus/progress.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// progressState is how the leader replicates to a follower.
+// progressState is the replication mode of a follower.
 type progressState uint8
 
 const (
 	// probing sends one append at a time until the logs are known to match.
 	probing progressState = iota
-	// replicating sends ahead of acknowledgements, up to MaxInflight messages.
+	// replicating pipelines up to MaxInflight unacknowledged appends.
 	replicating
 	// sendingSnapshot waits for the follower to install a snapshot.
 	sendingSnapshot
 )
 
-// progress is what the leader knows of another member.
+// progress is the leader's replication state of another member.
 type progress struct {
 	id    uint64
 	state progressState
@@ -26,25 +26,25 @@
 	commitSent uint64
 	// inflight holds the last index of each unacknowledged append.
 	inflight []uint64
-	// probeSent says that an append is out while probing.
+	// probeSent is set while a probing append is in flight.
 	probeSent bool
-	// snapshotIndex and snapshotSent belong to the snapshot that is on its way.
-	snapshotIndex uint64
-	snapshotSent  time.Time
-	// active is when the member last answered in this term.
-	active time.Time
-	// round is the highest heartbeat round that it answered.
+	// snapshotIndex and snapshotSentAt describe the snapshot in flight.
+	snapshotIndex  uint64
+	snapshotSentAt time.Time
+	// lastActive is when the member last responded in this term.
+	lastActive time.Time
+	// round is the highest heartbeat round that the member responded to.
 	round uint64
 }
 
-func (p *progress) probe(next uint64) {
+func (p *progress) becomeProbing(next uint64) {
 	p.state, p.next = probing, max(next, p.match+1)
 	p.inflight, p.probeSent = nil, false
 }
 
-// acknowledged takes in a synced index and reports whether it is news.
-func (p *progress) acknowledged(index uint64) bool {
-	news := index > p.match
+// recordAcknowledgement handles an acknowledged index and reports whether match advanced.
+func (p *progress) recordAcknowledgement(index uint64) bool {
+	advanced := index > p.match
 	p.match = max(p.match, index)
 	p.next = max(p.next, p.match+1)
 	for len(p.inflight) > 0 && p.inflight[0] <= index {
@@ -55,13 +55,13 @@
 		p.state, p.probeSent = replicating, false
 		p.next = p.match + 1
 	case p.state == sendingSnapshot && p.match >= p.snapshotIndex:
-		p.probe(p.match + 1)
+		p.becomeProbing(p.match + 1)
 	}
-	return news
+	return advanced
 }
 
-// blocked reports whether nothing more may be sent for now.
-func (p *progress) blocked(maxInflight int) bool {
+// paused reports whether flow control forbids further appends for now.
+func (p *progress) paused(maxInflight int) bool {
 	switch p.state {
 	case probing:
 		return p.probeSent
@@ -71,7 +71,7 @@
 	return true
 }
 
-func (p *progress) sent(lastIndex uint64, entries int) {
+func (p *progress) recordSent(lastIndex uint64, entries int) {
 	if p.state == probing {
 		p.probeSent = true
 		return
--- a/internal/consensus/read.go
+++ b/internal/consensus/read.go
@@ -1,46 +1,46 @@
 package consensus
 
-// pendingRead is a read that waits for a quorum to confirm the leader.
+// pendingRead is a read that waits for a quorum to confirm the leadership.
 type pendingRead struct {
 	token uint64
 	index uint64
 	round uint64
 }
 
-// pendingReads holds the reads of a leader (§6.4). Reads that come while a round
-// is out share the next one.
+// pendingReads holds the unconfirmed reads of a leader (§6.4). Reads that arrive
+// while a round is in flight share the next one.
 type pendingReads struct {
 	round uint64
-	// early reads wait for the first commit of the term, waiting ones for the
-	// next round, started ones for the answers to their round.
-	early   []pendingRead
-	waiting []pendingRead
-	started []pendingRead
+	// awaitingCommit reads wait for the first commit of the term, queued ones for
+	// the next round, inRound ones for the responses to their round.
+	awaitingCommit []pendingRead
+	queued         []pendingRead
+	inRound        []pendingRead
 }
 
-func (p *pendingReads) count() int { return len(p.early) + len(p.waiting) + len(p.started) }
+func (p *pendingReads) count() int { return len(p.awaitingCommit) + len(p.queued) + len(p.inRound) }
 
 func (p *pendingReads) all() []pendingRead {
-	all := append([]pendingRead(nil), p.started...)
-	return append(append(all, p.waiting...), p.early...)
+	all := append([]pendingRead(nil), p.inRound...)
+	return append(append(all, p.queued...), p.awaitingCommit...)
 }
 
-// startRound begins a new round, which confirms all reads that wait by now.
+// startRound begins a new round for all queued reads and returns its number.
 func (p *pendingReads) startRound(committedInTerm bool) uint64 {
 	p.round++
 	if committedInTerm {
-		for _, read := range p.waiting {
+		for _, read := range p.queued {
 			read.round = p.round
-			p.started = append(p.started, read)
+			p.inRound = append(p.inRound, read)
 		}
-		p.waiting = nil
+		p.queued = nil
 	}
 	return p.round
 }
 
-// confirmRead begins a read. Its index is taken now; that the voter is still
-// the leader is confirmed by a round of heartbeats that starts afterwards, so
-// that no later leader can have committed anything before the read began.
+// confirmRead begins a read at the current commit index. A heartbeat round that
+// starts afterwards confirms the leadership, so that no later leader can have
+// committed anything before the read began.
 func (c *Core) confirmRead(token uint64) {
 	refusal := Accepted
 	switch {
@@ -57,47 +57,48 @@
 	}
 	reads := &c.leadership.reads
 	if !c.committedInTerm() {
-		reads.early = append(reads.early, pendingRead{token: token})
+		reads.awaitingCommit = append(reads.awaitingCommit, pendingRead{token: token})
 		return
 	}
-	reads.waiting = append(reads.waiting, pendingRead{token: token, index: c.commit})
+	reads.queued = append(reads.queued, pendingRead{token: token, index: c.commit})
 	c.startReadRound()
 }
 
-// startReadRound starts a round for the waiting reads unless one is out.
+// startReadRound starts a round for the queued reads unless one is in flight.
 func (c *Core) startReadRound() {
-	if len(c.leadership.reads.started) == 0 && len(c.leadership.reads.waiting) > 0 {
+	if len(c.leadership.reads.inRound) == 0 && len(c.leadership.reads.queued) > 0 {
 		c.broadcastHeartbeat()
 	}
 }
 
-// releaseEarlyReads lets the reads go on that came before the leader knew the
-// commit index of the group.
-func (c *Core) releaseEarlyReads() {
+// queueEarlyReads queues the reads that arrived before the leader knew the group's
+// commit index.
+func (c *Core) queueEarlyReads() {
 	reads := &c.leadership.reads
-	if !c.committedInTerm() || len(reads.early) == 0 {
+	if !c.committedInTerm() || len(reads.awaitingCommit) == 0 {
 		return
 	}
-	for _, read := range reads.early {
+	for _, read := range reads.awaitingCommit {
 		read.index = c.commit
-		reads.waiting = append(reads.waiting, read)
+		reads.queued = append(reads.queued, read)
 	}
-	reads.early = nil
+	reads.awaitingCommit = nil
 	c.startReadRound()
 }
 
-// confirmReads answers the reads whose round, or a later one, a quorum answered.
+// confirmReads completes the reads whose round, or a later one, has a quorum of
+// responses.
 func (c *Core) confirmReads() {
 	reads := &c.leadership.reads
 	confirmed := 0
-	for _, read := range reads.started {
+	for _, read := range reads.inRound {
 		if !c.roundAnswered(read.round) {
 			break
 		}
 		c.output.Reads = append(c.output.Reads, ReadResult{Token: read.token, Index: read.index})
 		confirmed++
 	}
-	reads.started = reads.started[confirmed:]
+	reads.inRound = reads.inRound[confirmed:]
 	if confirmed > 0 {
 		c.startReadRound()
 	}
--- a/internal/consensus/receive.go
+++ b/internal/consensus/receive.go
@@ -1,6 +1,6 @@
 package consensus
 
-// receive handles a message of another voter, sorted by its term first (§3.3).
+// receive handles a message from another member, checking its term first (§3.3).
 func (c *Core) receive(message Message) {
 	if message.To != c.config.ID || message.From == c.config.ID {
 		return
@@ -11,30 +11,30 @@
 			return
 		}
 	case message.Term < c.hardState.Term:
-		c.answerStale(message)
+		c.respondToStale(message)
 		return
 	}
 	c.dispatch(message)
 }
 
-// adoptTerm moves to the term of a message and reports whether the message is
-// to be handled further.
+// adoptTerm handles a message with a higher term, adopting the term if allowed,
+// and reports whether the message should be dispatched.
 func (c *Core) adoptTerm(message Message) bool {
 	switch message.Type {
 	case MessagePreVote:
-		// A pre-vote announces a term that nobody is in yet.
-		return message.Transfer || !c.hearsLeader()
+		// The term of a pre-vote is a future term; it is not adopted.
+		return message.Transfer || !c.hasRecentLeaderContact()
 	case MessagePreVoteResponse:
 		if !message.Reject {
 			return message.Term == c.hardState.Term+1
 		}
 	case MessageVote:
-		if !message.Transfer && c.hearsLeader() {
+		if !message.Transfer && c.hasRecentLeaderContact() {
 			return false
 		}
 	}
 	if _, known := c.membership().Find(message.From); !known && message.Type.isResponse() {
-		// A removed voter's term is none of our business.
+		// Terms of removed or unknown voters are ignored.
 		return false
 	}
 	leader := uint64(0)
@@ -45,8 +45,8 @@
 	return true
 }
 
-// answerStale tells a sender with a lower term that it is behind.
-func (c *Core) answerStale(message Message) {
+// respondToStale sends the current term to a sender with a lower term.
+func (c *Core) respondToStale(message Message) {
 	switch {
 	case message.Type == MessagePreVote:
 		c.send(Message{Type: MessagePreVoteResponse, To: message.From, Reject: true})
@@ -79,15 +79,15 @@
 
 func (c *Core) followLeader(message Message) {
 	if c.role == Leader {
-		// Two leaders of one term can't be; the message is forged or damaged.
+		// A term has at most one leader, so the message is forged or corrupt.
 		return
 	}
 	c.becomeFollower(message.Term, message.From)
 	c.leaderContact = c.now
 	c.resetElectionDeadline()
 	if c.hardState.Vote == 0 {
-		// Voting for the elected leader keeps us from voting for another in this
-		// term even after our log was lost and refilled.
+		// Voting for the elected leader prevents a vote for another candidate in
+		// this term, even after the log was lost and replicated again.
 		c.hardState.Vote = message.From
 	}
 	switch message.Type {
@@ -103,10 +103,10 @@
 	}
 }
 
-// handleAppend is the follower's part of replication (§3.5).
+// handleAppend handles an append on a follower (§3.5).
 func (c *Core) handleAppend(message Message) {
 	if message.LogIndex < c.commit {
-		// All entries up to our commit index match the leader's by definition.
+		// Entries up to the commit index match the leader's by definition.
 		c.acknowledge(message.From, c.commit)
 		return
 	}
@@ -122,10 +122,10 @@
 	c.acknowledge(message.From, last)
 }
 
-// acknowledge promises that the log up to an index is kept. It must leave only
-// after the entries are synced: the leader counts it towards commitment (§3.8).
+// acknowledge confirms that the log up to an index is durable. It is sent only
+// after the sync, since the leader counts it towards commitment (§3.8).
 func (c *Core) acknowledge(leader, index uint64) {
-	c.promise(Message{Type: MessageAppendResponse, To: leader, LogIndex: index})
+	c.sendAfterPersist(Message{Type: MessageAppendResponse, To: leader, LogIndex: index})
 }
 
 func (c *Core) rejectAppend(message Message) {
@@ -137,9 +137,8 @@
 	})
 }
 
-// appendFromLeader appends what the log lacks, removing conflicting entries
-// first. Entries that match already stay, because the message may be an old
-// one (§3.5).
+// appendFromLeader appends missing entries after removing conflicting ones.
+// Matching entries are kept, because the message may be delayed (§3.5).
 func (c *Core) appendFromLeader(message Message) bool {
 	for i, entry := range message.Entries {
 		if entry.Index != message.LogIndex+uint64(i)+1 {
@@ -159,7 +158,7 @@
 }
 
 func (c *Core) replaceTail(entries []Entry) bool {
-	memberships := make([]positionedMembership, 0, 1)
+	memberships := make([]indexedMembership, 0, 1)
 	for _, entry := range entries {
 		if entry.Kind != EntryMembership {
 			continue
@@ -168,9 +167,9 @@
 		if err != nil {
 			return false
 		}
-		memberships = append(memberships, positionedMembership{index: entry.Index, membership: membership})
+		memberships = append(memberships, indexedMembership{index: entry.Index, membership: membership})
 	}
-	c.persistence.truncated(entries[0].Index)
+	c.persistence.truncate(entries[0].Index)
 	c.memberships.truncate(entries[0].Index)
 	c.log.append(entries)
 	for _, version := range memberships {
@@ -181,8 +180,8 @@
 
 func (c *Core) commitUpTo(index uint64) { c.commit = max(c.commit, index) }
 
-// handleSnapshot takes over the leader's state when the log can't be continued
-// by entries (§5.1).
+// handleSnapshot installs the leader's snapshot if the local log does not already
+// contain its last entry (§5.1).
 func (c *Core) handleSnapshot(message Message) {
 	snapshot := message.Snapshot
 	if snapshot.Index <= c.commit {
--- a/internal/consensus/safety_test.go
+++ b/internal/consensus/safety_test.go
@@ -11,13 +11,14 @@
 	"pgregory.net/rapid"
 )
 
-// evenBits are drawn for each choice. Rapid's own ranges prefer small numbers,
-// so that schedules would hardly leave the first node and the first action.
-const evenBits = 12
+// uniformBits is the number of bits drawn for each choice. Rapid's own ranges are
+// biased to small numbers, so schedules would rarely use more than the first node
+// and the first action.
+const uniformBits = 12
 
-var evenNumber = rapid.Custom(func(t *rapid.T) int {
+var uniformNumber = rapid.Custom(func(t *rapid.T) int {
 	number := 0
-	for range evenBits {
+	for range uniformBits {
 		number <<= 1
 		if rapid.Bool().Draw(t, "bit") {
 			number++
@@ -26,22 +27,22 @@
 	return number
 })
 
-// choose draws from [0, count) evenly.
+// choose draws uniformly from [0, count).
 func choose(t *rapid.T, label string, count int) int {
-	return evenNumber.Draw(t, label) * count >> evenBits
+	return uniformNumber.Draw(t, label) * count >> uniformBits
 }
 
-// schedule is a cluster whose moves rapid draws.
+// schedule is a cluster whose actions are drawn by rapid.
 type schedule struct {
 	*cluster
 	draw *rapid.T
 }
 
-// action is one move of the schedule with its share among 100.
+// action is one step of the schedule with its weight out of 100.
 type action struct {
-	name  string
-	share int
-	run   func(c *schedule, node *simulatedNode)
+	name   string
+	weight int
+	run    func(c *schedule, node *simulatedNode)
 }
 
 var actions = []action{
@@ -49,33 +50,33 @@
 	{"sync", 14, (*schedule).syncSome},
 	{"pass time", 12, (*schedule).passTime},
 	{"propose", 10, (*schedule).proposeOne},
-	{"calm", 12, (*schedule).calm},
+	{"run undisturbed", 12, (*schedule).runUndisturbed},
 	{"read", 4, (*schedule).readOne},
 	{"crash or restart", 5, (*schedule).crashOrRestart},
 	{"change voters", 6, (*schedule).changeOne},
 	{"transfer", 2, (*schedule).transferOne},
 	{"snapshot", 4, (*schedule).snapshotOne},
-	{"lose all", 1, func(c *schedule, _ *simulatedNode) { c.flying = nil }},
+	{"lose all", 1, func(c *schedule, _ *simulatedNode) { c.inFlight = nil }},
 }
 
 func (c *schedule) deliverOne(*simulatedNode) {
-	if len(c.flying) == 0 {
+	if len(c.inFlight) == 0 {
 		return
 	}
-	position := choose(c.draw, "message", len(c.flying))
-	fate := choose(c.draw, "fate", 10)
-	message := c.flying[position]
-	const lost, repeated = 0, 1
-	if fate != repeated {
-		c.flying = slices.Delete(c.flying, position, position+1)
+	position := choose(c.draw, "message", len(c.inFlight))
+	outcome := choose(c.draw, "outcome", 10)
+	message := c.inFlight[position]
+	const lost, duplicated = 0, 1
+	if outcome != duplicated {
+		c.inFlight = slices.Delete(c.inFlight, position, position+1)
 	}
-	if fate != lost {
+	if outcome != lost {
 		c.deliver(message)
 	}
 }
 
 func (c *schedule) deliver(message Message) {
-	// Through the encoding, as between processes.
+	// Encode and decode the message, as between processes.
 	decoded, err := DecodeMessage(EncodeMessage(message))
 	if err != nil {
 		c.t.Fatalf("message %v can't be decoded: %v", message, err)
@@ -86,7 +87,7 @@
 }
 
 func (c *schedule) syncSome(node *simulatedNode) {
-	c.sync(node, choose(c.draw, "synced", len(node.cache)+1))
+	c.sync(node, choose(c.draw, "synced", len(node.unsynced)+1))
 }
 
 func (c *schedule) passTime(node *simulatedNode) {
@@ -97,17 +98,17 @@
 	c.step(node, Wake{})
 }
 
-// calm lets a part of the cluster run undisturbed for a while, so that leaders
-// get elected and commit.
-func (c *schedule) calm(*simulatedNode) {
-	// Each node is cut off with a chance of one in four.
-	cut := choose(c.draw, "cut", 1<<clusterSize) & choose(c.draw, "and", 1<<clusterSize)
+// runUndisturbed runs part of the cluster without faults for a while, so that
+// leaders get elected and commit.
+func (c *schedule) runUndisturbed(*simulatedNode) {
+	// Each node is isolated with a probability of one in four.
+	isolated := choose(c.draw, "isolated", 1<<clusterSize) & choose(c.draw, "and", 1<<clusterSize)
 	rounds := choose(c.draw, "rounds", 80)
 	for range rounds {
-		flying := c.flying
-		c.flying = nil
-		for _, message := range flying {
-			if cut&(1<<(message.To-1)) == 0 && cut&(1<<(message.From-1)) == 0 {
+		inFlight := c.inFlight
+		c.inFlight = nil
+		for _, message := range inFlight {
+			if isolated&(1<<(message.To-1)) == 0 && isolated&(1<<(message.From-1)) == 0 {
 				c.deliver(message)
 			}
 		}
@@ -115,15 +116,15 @@
 			node := c.nodes[id]
 			node.clock = node.clock.Add(DefaultHeartbeat)
 			if node.core != nil {
-				c.sync(node, len(node.cache))
+				c.sync(node, len(node.unsynced))
 				c.step(node, Wake{})
 			}
 		}
 	}
 }
 
-// preferLeader mostly returns the node that leads the highest term in place of
-// the drawn one, since others refuse.
+// preferLeader usually replaces the drawn node by the leader of the highest term,
+// since non-leaders refuse requests.
 func (c *schedule) preferLeader(drawn *simulatedNode) *simulatedNode {
 	if choose(c.draw, "any", 4) == 0 {
 		return drawn
@@ -168,7 +169,7 @@
 	if choose(c.draw, "spared", 2) == 0 {
 		return
 	}
-	c.crash(node, choose(c.draw, "kept", len(node.cache)+1))
+	c.crash(node, choose(c.draw, "kept", len(node.unsynced)+1))
 }
 
 func (c *schedule) changeOne(node *simulatedNode) {
@@ -203,16 +204,16 @@
 func drawAction(t *rapid.T) action {
 	drawn := choose(t, "action", 100)
 	for _, candidate := range actions {
-		if drawn -= candidate.share; drawn < 0 {
+		if drawn -= candidate.weight; drawn < 0 {
 			return candidate
 		}
 	}
-	panic("the shares do not add up to 100")
+	panic("the weights do not add up to 100")
 }
 
-// TestSafetyUnderRandomSchedules runs clusters whose messages are lost, repeated
-// and reordered, whose voters crash with unsynced writes, whose clocks differ
-// and whose membership changes, and checks Raft's safety properties throughout.
+// TestSafetyUnderRandomSchedules checks Raft's safety properties in clusters with
+// lost, duplicated and reordered messages, crashes with unsynced writes, differing
+// clocks and membership changes.
 func TestSafetyUnderRandomSchedules(t *testing.T) {
 	var commits, reads, snapshots, changes int
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/consensus/scenario_test.go
+++ b/internal/consensus/scenario_test.go
@@ -9,12 +9,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The schedules below are the published counterexamples to leaving out one rule
-// each. Random schedules seldom meet them.
+// Each schedule below is a published counterexample to an implementation that
+// omits one rule. Random schedules rarely reach them.
 
 const proposedToken = 7
 
-// among accepts the messages between the given voters.
+// among returns a filter that accepts messages between the given voters.
 func among(ids ...uint64) func(Message) bool {
 	contains := func(id uint64) bool { return bytes.IndexByte(asBytes(ids), byte(id)) >= 0 }
 	return func(message Message) bool { return contains(message.From) && contains(message.To) }
@@ -28,12 +28,13 @@
 	return list
 }
 
-// exchange syncs and delivers until no accepted message is left. Others wait.
+// exchange syncs and delivers until no accepted message is left. Other messages
+// stay in flight.
 func (c *cluster) exchange(accepts func(Message) bool) {
 	for moved := true; moved; {
 		for _, id := range c.ids {
 			if node := c.nodes[id]; node.core != nil {
-				c.sync(node, len(node.cache))
+				c.sync(node, len(node.unsynced))
 			}
 		}
 		moved = c.deliverAccepted(accepts)
@@ -42,12 +43,12 @@
 
 // deliverAccepted delivers the accepted messages once, without a sync.
 func (c *cluster) deliverAccepted(accepts func(Message) bool) bool {
-	flying := c.flying
-	c.flying = nil
+	inFlight := c.inFlight
+	c.inFlight = nil
 	moved := false
-	for _, message := range flying {
+	for _, message := range inFlight {
 		if !accepts(message) {
-			c.flying = append(c.flying, message)
+			c.inFlight = append(c.inFlight, message)
 		} else if node := c.nodes[message.To]; node.core != nil {
 			c.step(node, Receive{Message: message})
 			moved = true
@@ -56,12 +57,12 @@
 	return moved
 }
 
-// campaign lets time pass until the voter asks for votes; the others only stop
-// hearing from a leader. Those that have heard none since their start would campaign
-// themselves after that time; for them none passes.
+// campaign advances the voter's clock until it requests votes. The clocks of the
+// others advance just enough for their leader contact to expire; those without
+// leader contact since their start would campaign themselves, so theirs stay.
 func (c *cluster) campaign(id uint64, others ...uint64) {
 	for _, other := range others {
-		if c.nodes[other].core.ledSinceStart {
+		if c.nodes[other].core.seenLeaderSinceStart {
 			c.nodes[other].clock = c.nodes[other].clock.Add(DefaultElectionTimeout)
 		}
 	}
@@ -69,8 +70,8 @@
 	c.step(c.nodes[id], Wake{})
 }
 
-// elect makes a voter leader by the votes of others. The first attempt may only
-// tell it the present term.
+// elect makes a voter leader with the votes of others. The first attempt may only
+// update its term.
 func (c *cluster) elect(id uint64, others ...uint64) {
 	for range 2 {
 		if c.nodes[id].core.role != Leader {
@@ -87,11 +88,12 @@
 	return output.Proposals[0].Index
 }
 
-func (c *cluster) crashAll(id uint64) { c.crash(c.nodes[id], len(c.nodes[id].cache)) }
+func (c *cluster) crashWithAllWritten(id uint64) { c.crash(c.nodes[id], len(c.nodes[id].unsynced)) }
 
-// TestFirstElectionIsEarlyUntilALeaderIsHeard draws a started voter's deadlines within
-// a part of the election timeout, and whole ones once it has heard a leader.
-func TestFirstElectionIsEarlyUntilALeaderIsHeard(t *testing.T) {
+// TestElectionTimeoutIsShorterUntilLeaderContact checks that a started voter's
+// first election timeout is shortened, and that it is full once the voter has had
+// contact with a leader.
+func TestElectionTimeoutIsShorterUntilLeaderContact(t *testing.T) {
 	c := newCluster(t)
 	started := c.nodes[1]
 	c.step(started, Wake{})
@@ -99,7 +101,7 @@
 	c.elect(1, 2, 3)
 	c.exchange(among(1, 2, 3))
 	follower := c.nodes[2]
-	require.True(t, follower.core.ledSinceStart)
+	require.True(t, follower.core.seenLeaderSinceStart)
 	require.GreaterOrEqual(t, follower.core.electionDeadline.Sub(follower.clock), DefaultElectionTimeout)
 }
 
@@ -108,19 +110,19 @@
 func TestEntryOfEarlierTermIsNotCommittedByCount(t *testing.T) {
 	c := newCluster(t)
 	c.elect(1, 2, 3)
-	// Larger than a batch, so that it travels without the entries behind it.
+	// Larger than a batch, so that it is sent without the entries after it.
 	earlier := c.proposeOn(1, make([]byte, 8*entryOverheadBytes))
-	c.sync(c.nodes[1], len(c.nodes[1].cache))
-	c.crashAll(1)
-	c.flying = nil
+	c.sync(c.nodes[1], len(c.nodes[1].unsynced))
+	c.crashWithAllWritten(1)
+	c.inFlight = nil
 	c.campaign(3, 2)
 	// The new leader's first entry stays on its own disk.
 	c.exchange(func(message Message) bool { return among(2, 3)(message) && message.Type != MessageAppend })
 	require.Equal(t, Leader, c.nodes[3].core.role)
-	c.crashAll(3)
-	c.flying = nil
+	c.crashWithAllWritten(3)
+	c.inFlight = nil
 	c.restart(c.nodes[1])
-	// The first attempt only tells it the present term.
+	// The first attempt only updates its term.
 	for range 2 {
 		c.campaign(1, 2)
 		c.exchange(func(message Message) bool {
@@ -131,14 +133,14 @@
 	require.Equal(t, Leader, c.nodes[1].core.role)
 	require.Equal(t, earlier, c.nodes[2].core.log.lastIndex(), "a majority holds the entry")
 	require.Less(t, c.nodes[1].core.commit, earlier)
-	c.crashAll(1)
-	c.flying = nil
+	c.crashWithAllWritten(1)
+	c.inFlight = nil
 	c.restart(c.nodes[3])
 	c.elect(3, 2)
 }
 
-// rivals brings voters 1 and 3 to ask for votes in the same term.
-func rivals(t *testing.T) (*cluster, func(from uint64)) {
+// newRivalCandidates makes voters 1 and 3 candidates in the same term.
+func newRivalCandidates(t *testing.T) (*cluster, func(from uint64)) {
 	c := newCluster(t)
 	c.campaign(1, 2)
 	c.campaign(3, 2)
@@ -148,14 +150,14 @@
 	require.Equal(t, Candidate, c.nodes[1].core.role)
 	require.Equal(t, Candidate, c.nodes[3].core.role)
 	require.Equal(t, c.nodes[1].core.hardState.Term, c.nodes[3].core.hardState.Term)
-	ask := func(from uint64) { c.deliverAccepted(among(2, from)) }
-	return c, ask
+	deliverWithVoter2 := func(from uint64) { c.deliverAccepted(among(2, from)) }
+	return c, deliverWithVoter2
 }
 
-// TestVoteLeavesBehindItsSync crashes a voter between its vote and the sync.
-func TestVoteLeavesBehindItsSync(t *testing.T) {
-	c, ask := rivals(t)
-	ask(1)
+// TestVoteIsSentAfterSync crashes a voter between its vote and the sync.
+func TestVoteIsSentAfterSync(t *testing.T) {
+	c, deliverWithVoter2 := newRivalCandidates(t)
+	deliverWithVoter2(1)
 	c.deliverAccepted(among(1, 2))
 	require.Equal(t, Candidate, c.nodes[1].core.role, "the vote must wait for the sync")
 	c.crash(c.nodes[2], 0)
@@ -164,20 +166,20 @@
 	require.Equal(t, Leader, c.nodes[3].core.role)
 }
 
-// TestVoteOutlivesARestart asks a restarted voter for a second vote in a term.
-func TestVoteOutlivesARestart(t *testing.T) {
-	c, ask := rivals(t)
-	ask(1)
+// TestVoteSurvivesRestart requests a second vote in a term from a restarted voter.
+func TestVoteSurvivesRestart(t *testing.T) {
+	c, deliverWithVoter2 := newRivalCandidates(t)
+	deliverWithVoter2(1)
 	c.exchange(func(message Message) bool { return among(1, 2)(message) && message.Type == MessageVoteResponse })
 	require.Equal(t, Leader, c.nodes[1].core.role)
-	c.crashAll(2)
+	c.crashWithAllWritten(2)
 	c.restart(c.nodes[2])
 	c.exchange(among(2, 3))
 	require.NotEqual(t, Leader, c.nodes[3].core.role)
 }
 
-// TestDeposedLeaderConfirmsNoRead reads from a leader that does not know yet
-// that it was replaced.
+// TestDeposedLeaderConfirmsNoRead reads from a leader that has not learned yet
+// that it was deposed.
 func TestDeposedLeaderConfirmsNoRead(t *testing.T) {
 	c := newCluster(t)
 	c.elect(1, 2, 3)
@@ -189,8 +191,8 @@
 	output := c.step(c.nodes[1], ConfirmRead{Token: proposedToken})
 	require.Equal(t, Leader, output.State.Role)
 	require.Empty(t, output.Reads)
-	// What the others answer makes it step down, and the read with it.
-	c.flying = append(c.flying, output.Messages...)
+	// The responses make it step down, which refuses the read.
+	c.inFlight = append(c.inFlight, output.Messages...)
 	c.exchange(among(1, 2, 3))
 	require.NotEqual(t, Leader, c.nodes[1].core.role)
 	require.Empty(t, c.reads)
@@ -204,7 +206,7 @@
 	c.elect(1, 2, 3)
 	c.proposeOn(1, []byte("first"))
 	var first Message
-	for _, message := range c.flying {
+	for _, message := range c.inFlight {
 		if message.To == 2 && len(message.Entries) > 0 {
 			first = message
 		}
@@ -213,14 +215,14 @@
 	c.exchange(among(1, 2))
 	require.Equal(t, last, c.nodes[1].core.commit)
 	c.step(c.nodes[2], Receive{Message: first})
-	c.sync(c.nodes[2], len(c.nodes[2].cache))
+	c.sync(c.nodes[2], len(c.nodes[2].unsynced))
 	require.True(t, c.nodes[2].holds(c.committed[last].entry))
-	// The same from below the commit index, as a leader that lags would send it.
+	// The append starts below the commit index and must not truncate the log.
 	require.Equal(t, last, c.nodes[2].core.log.lastIndex())
 }
 
-// TestCommitEndsWhereTheLogsMatch gives a follower with a tail of an old term
-// a commit index behind what is known to match.
+// TestCommitEndsWhereTheLogsMatch sends a follower with conflicting entries of an
+// old term a commit index beyond the last index known to match.
 func TestCommitEndsWhereTheLogsMatch(t *testing.T) {
 	c := newCluster(t)
 	c.elect(1, 2, 3)
@@ -228,11 +230,11 @@
 	for range 3 {
 		c.proposeOn(1, []byte("stale"))
 	}
-	c.flying = nil
+	c.inFlight = nil
 	c.elect(2, 3)
 	leader := c.nodes[2].core
 	term, _ := leader.log.term(matching)
-	c.flying = nil
+	c.inFlight = nil
 	output := c.nodes[1].core.Step(c.nodes[1].clock, Receive{Message: Message{
 		Type: MessageAppend, From: 2, To: 1, Term: leader.hardState.Term,
 		LogIndex: matching, LogTerm: term, Commit: matching + 2,
@@ -240,8 +242,8 @@
 	require.Equal(t, matching, output.State.Commit)
 }
 
-// TestOneMembershipChangeAtATime asks for changes while one is open, and of a
-// leader that has committed nothing in its term (the correction of 2015).
+// TestOneMembershipChangeAtATime requests changes while one is uncommitted, and
+// from a leader that has committed nothing in its term (the correction of 2015).
 func TestOneMembershipChangeAtATime(t *testing.T) {
 	c := newCluster(t)
 	c.elect(1, 2, 3)
@@ -251,7 +253,7 @@
 	}
 	require.Equal(t, Accepted, change(1, 4))
 	require.Equal(t, RefusedChangePending, change(1, 5))
-	c.flying = nil
+	c.inFlight = nil
 	c.campaign(2, 3)
 	c.exchange(func(message Message) bool { return among(2, 3)(message) && message.Type != MessageAppend })
 	require.Equal(t, Leader, c.nodes[2].core.role)
@@ -276,12 +278,12 @@
 	require.NotEqual(t, before, node.core.membership())
 }
 
-// TestLeaderWithoutQuorumStepsDown lets a leader hear from nobody (§6.2), and
-// checks that its return with an old log disturbs nobody (§9.6).
+// TestLeaderWithoutQuorumStepsDown checks that a leader without responses steps
+// down (§6.2) and that its later campaigns do not increase its term (§9.6).
 func TestLeaderWithoutQuorumStepsDown(t *testing.T) {
 	c := newCluster(t)
 	c.elect(1, 2, 3)
-	c.flying = nil
+	c.inFlight = nil
 	c.nodes[1].clock = c.nodes[1].clock.Add(2 * DefaultElectionTimeout)
 	c.step(c.nodes[1], Wake{})
 	require.NotEqual(t, Leader, c.nodes[1].core.role)
@@ -293,9 +295,9 @@
 	require.Equal(t, term, c.nodes[1].core.hardState.Term)
 }
 
-// TestReturnedVoterDisturbsNobody cuts a follower off for many election
-// timeouts. On its return the leader and its term stay (§9.6).
-func TestReturnedVoterDisturbsNobody(t *testing.T) {
+// TestReconnectedVoterIsNotDisruptive isolates a follower for many election
+// timeouts. After it reconnects, the leader and the term stay the same (§9.6).
+func TestReconnectedVoterIsNotDisruptive(t *testing.T) {
 	c := newCluster(t)
 	c.elect(1, 2, 3)
 	term := c.nodes[1].core.hardState.Term
@@ -318,22 +320,22 @@
 	}
 }
 
-// TestDiskFailureEndsAllPromises checks that a voter whose disk failed neither
+// TestVoterStopsParticipatingAfterDiskFailure checks that a voter whose disk failed neither
 // votes, acknowledges, proposes nor writes.
-func TestDiskFailureEndsAllPromises(t *testing.T) {
+func TestVoterStopsParticipatingAfterDiskFailure(t *testing.T) {
 	c := newCluster(t)
 	c.elect(1, 2, 3)
 	halted := c.nodes[2]
 	output := c.step(halted, DiskFailed{})
 	require.True(t, output.State.Halted)
-	before := len(c.flying)
+	before := len(c.inFlight)
 	c.proposeOn(1, []byte("after"))
 	c.deliverAccepted(func(message Message) bool { return message.To == 2 })
 	c.step(halted, Receive{Message: Message{Type: MessageVote, From: 3, To: 2, Term: 99, LogIndex: 99, LogTerm: 99}})
 	halted.clock = halted.clock.Add(time.Hour)
 	require.Empty(t, c.step(halted, Wake{}).Messages)
-	require.Empty(t, halted.cache)
-	for _, message := range c.flying[min(before, len(c.flying)):] {
+	require.Empty(t, halted.unsynced)
+	for _, message := range c.inFlight[min(before, len(c.inFlight)):] {
 		require.NotEqual(t, uint64(2), message.From)
 	}
 	output = c.step(halted, Propose{Proposals: []Proposal{{Token: proposedToken}}})
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// EntryKind tells what an entry of the log holds.
+// EntryKind is the kind of a log entry.
 type EntryKind uint8
 
 // Entry kinds.
 const (
 	// EntryData holds a proposal, opaque to this package.
 	EntryData EntryKind = iota
-	// EntryNoop is what a new leader appends to commit the entries of earlier
+	// EntryNoop is appended by a new leader to commit the entries of earlier
 	// terms (§3.6.2, §6.4). The state machine ignores it.
 	EntryNoop
 	// EntryMembership holds an encoded Membership.
 	EntryMembership
 )
 
-// entryOverheadBytes is counted for each entry besides its data.
+// entryOverheadBytes is added to the data size of each entry in size limits.
 const entryOverheadBytes = 32
 
-// Entry is one position of the replicated log. Data must not be changed.
+// Entry is one entry of the replicated log. Data must not be modified.
 type Entry struct {
 	Index uint64
 	Term  uint64
@@ -32,8 +32,8 @@
 
 func (e Entry) size() int { return len(e.Data) + entryOverheadBytes }
 
-// HardState is what a voter must never forget (§3.4): its term and the
-// candidate that it voted for in it, 0 for none.
+// HardState must survive restarts (§3.4): the term and the candidate that the
+// voter voted for in it, 0 for none.
 type HardState struct {
 	Term uint64
 	Vote uint64
@@ -48,16 +48,16 @@
 	Data       []byte
 }
 
-// Restored is what a voter finds on its disk when it starts. Snapshot is nil
-// before the first one; Entries follow each other without gaps and begin at or
-// before Snapshot.Index+1.
+// Restored is the durable state that a voter loads when it starts. Snapshot is
+// nil before the first one; Entries have no gaps and begin at or before
+// Snapshot.Index+1.
 type Restored struct {
 	HardState HardState
 	Snapshot  *Snapshot
 	Entries   []Entry
 }
 
-// Role is the part that a voter plays in its term.
+// Role is the Raft role of a voter in its term.
 type Role uint8
 
 // Roles.
@@ -85,10 +85,10 @@
 	DefaultMaxPendingReads     = 64 << 10
 )
 
-// Config holds what a Core is made with. Zero values take the defaults.
+// Config configures a Core. Zero values take the defaults.
 type Config struct {
-	// ID of this voter; never 0 and never used by another voter, also not by
-	// one removed before.
+	// ID of this voter; never 0 and never reused, not even the ID of a removed
+	// voter.
 	ID uint64
 	// ElectionTimeout is the lower bound of the randomized election timeout,
 	// which is drawn from [ElectionTimeout, 2×ElectionTimeout).
@@ -97,8 +97,8 @@
 	Heartbeat time.Duration
 	// Seed of the election timeouts.
 	Seed uint64
-	// MaxBatchBytes bounds the entries of one append message. An entry larger
-	// than that travels alone.
+	// MaxBatchBytes bounds the entries of one append message. A larger entry is
+	// sent alone.
 	MaxBatchBytes int
 	// MaxInflight bounds the unacknowledged append messages to each follower.
 	MaxInflight int
@@ -108,7 +108,7 @@
 	// MaxEntryBytes bounds one proposal.
 	MaxEntryBytes int
 	// MaxSnapshotBytes bounds the data of a snapshot. A larger one is neither
-	// kept nor sent, and the log is not compacted.
+	// stored nor sent, and the log is not compacted.
 	MaxSnapshotBytes int
 	// MaxPendingReads bounds the reads waiting for confirmation.
 	MaxPendingReads int
