--- a/internal/voter/applier.go
+++ b/internal/voter/applier.go
@@ -5,14 +5,14 @@
 	"github.com/martenstage/martenstage/internal/logging"
 )
 
-// applyRequest carries committed entries, after a snapshot to restore if set.
+// applyRequest carries committed entries. If restore is set, it is restored first.
 type applyRequest struct {
 	restore *consensus.Snapshot
 	entries []consensus.Entry
 }
 
-// takenSnapshot is the state after an index.
-type takenSnapshot struct {
+// machineSnapshot is the encoded state of the state machine as of an index.
+type machineSnapshot struct {
 	index uint64
 	data  []byte
 }
@@ -21,7 +21,7 @@
 type applier struct {
 	voter   *Voter
 	machine StateMachine
-	// entries and bytes were applied since the last snapshot.
+	// entries and bytes count what was applied since the last snapshot.
 	entries uint64
 	bytes   uint64
 }
@@ -55,8 +55,8 @@
 
 func (a *applier) restore(snapshot consensus.Snapshot) {
 	if err := a.machine.Restore(snapshot.Data); err != nil {
-		// A state machine that can't follow must not answer; treated like a disk
-		// whose content is not known.
+		// A state machine that can't be restored must not serve requests; this is
+		// handled like a disk failure.
 		a.voter.diskFailed(err)
 		return
 	}
@@ -88,6 +88,7 @@
 		log.WithField("bytes", len(data)).WithField("limit", limit).Error("snapshot is too large; the log is not compacted")
 		return
 	}
-	// When one is still waiting, the next threshold brings another.
-	a.voter.snapshots.TryPush(takenSnapshot{index: a.voter.applied.load(), data: data})
+	// If an earlier snapshot is still queued, this one is dropped; the next is
+	// taken at the next threshold.
+	a.voter.snapshots.TryPush(machineSnapshot{index: a.voter.applied.load(), data: data})
 }
--- a/internal/voter/config.go
+++ b/internal/voter/config.go
@@ -9,7 +9,7 @@
 	"github.com/martenstage/martenstage/internal/consensus"
 )
 
-// Bounds of the rings and defaults of Config.
+// Capacities of the rings and defaults of Config.
 const (
 	messageRingCapacity  = 4096
 	proposalRingCapacity = 16384
@@ -18,68 +18,66 @@
 	writeRingCapacity    = 4096
 	applyRingCapacity    = 4096
 	peerRingCapacity     = 4096
-	// maxPeers bounds the senders; a group has a handful of members.
+	// maxPeers bounds the number of senders; a group has only a few members.
 	maxPeers = 64
-	// maxProposalBatch bounds the proposals of one step of the core.
+	// maxProposalBatch bounds the proposals in one step of the core.
 	maxProposalBatch = 4096
 
-	// DefaultSnapshotEntries is after how many applied entries a snapshot is
-	// taken.
+	// DefaultSnapshotEntries is the number of applied entries between snapshots.
 	DefaultSnapshotEntries = 20_000
-	// DefaultSnapshotBytes is after how many bytes of applied entries a snapshot
-	// is taken.
+	// DefaultSnapshotBytes is the size of applied entries between snapshots.
 	DefaultSnapshotBytes = 32 << 20
 )
 
-// StateMachine is what the log drives. Its methods are called one at a time,
-// from one goroutine. Apply and Restore must be deterministic.
+// StateMachine is the replicated state machine. Its methods are called one at a
+// time, from one goroutine. Apply and Restore must be deterministic.
 type StateMachine interface {
-	// Apply carries out a committed proposal and returns what Propose returns.
+	// Apply applies a committed proposal and returns the result for Propose.
 	Apply(index uint64, data []byte) any
-	// Snapshot returns the whole state.
+	// Snapshot returns the complete state.
 	Snapshot() ([]byte, error)
-	// Restore replaces the whole state.
+	// Restore replaces the complete state.
 	Restore(data []byte) error
 }
 
-// Transport carries encoded messages to another member. Send must not block;
-// it may drop, repeat and reorder. Messages of one call are in order.
+// Transport sends encoded messages to another member. Send must not block; it may
+// drop, duplicate and reorder messages. Messages of one call are in order.
 type Transport interface {
 	Send(to uint64, address string, messages [][]byte)
 }
 
 // Store is the durable state of a voter. Package raftlog implements it; tests
-// put slow, full and failing disks in its place.
+// use fakes for slow, full and failing disks.
 type Store interface {
-	// Write makes units durable in order; when it returns nil all are synced.
+	// Write makes units durable in order; if it returns nil, all are synced.
 	Write(units []*consensus.Persist) error
 	Close() error
 }
 
-// Config says who a voter is and where its state lives. Zero values of the
-// durations and bounds take defaults.
+// Config holds a voter's identity, data folder and limits. Zero durations and
+// limits take defaults.
 type Config struct {
-	// ID is unique and never reused, also not after the voter was removed.
+	// ID is unique and never reused, not even after the voter was removed.
 	ID uint64
-	// Address is where the other members reach this one.
+	// Address is the address at which other members reach this one.
 	Address string
 	// Folder is the data folder, unless Store is set.
 	Folder string
-	// InitialVoters start a new group; ignored when Folder holds a state
-	// already. A machine that joins a running group has none.
+	// InitialVoters start a new group; they are ignored if Folder already holds
+	// state, and empty on a machine that joins a running group.
 	InitialVoters []consensus.Member
 	// Heartbeat and ElectionTimeout are as in consensus.Config.
 	Heartbeat       time.Duration
 	ElectionTimeout time.Duration
-	// Seed of the election timeouts; 0 takes one from the operating system.
+	// Seed of the election timeouts; 0 uses a random seed.
 	Seed uint64
-	// SnapshotEntries and SnapshotBytes of applied entries, whichever comes
-	// first, lead to a snapshot.
+	// A snapshot is taken after SnapshotEntries or SnapshotBytes of applied
+	// entries, whichever comes first.
 	SnapshotEntries uint64
 	SnapshotBytes   uint64
-	// Core holds further bounds; its ID, timeouts and seed are ignored.
+	// Core holds further limits; its ID, timeouts and seed are ignored.
 	Core consensus.Config
-	// WrapStore, when set, is put around the opened folder.
+	// WrapStore, if set, wraps the opened store.
 	WrapStore func(Store) Store
 }
 
--- a/internal/voter/disk_test.go
+++ b/internal/voter/disk_test.go
@@ -14,22 +14,22 @@
 	"github.com/martenstage/martenstage/internal/consensus"
 )
 
-// faultyDisk passes writes on until it is told to fail or to stall.
+// faultyDisk forwards writes until a test makes it fail or stall.
 type faultyDisk struct {
 	Store
 	mutex  sync.Mutex
 	failed error
-	// stalled blocks writes until it is closed; nil for not at all.
+	// stalled blocks writes until it is closed; nil does not block.
 	stalled chan struct{}
-	// after counts the writes that were asked for since the failure.
-	after int
+	// writesAfterFailure counts the write calls since the failure.
+	writesAfterFailure int
 }
 
 func (d *faultyDisk) Write(units []*consensus.Persist) error {
 	d.mutex.Lock()
 	failed, stalled := d.failed, d.stalled
 	if failed != nil {
-		d.after++
+		d.writesAfterFailure++
 	}
 	d.mutex.Unlock()
 	if stalled != nil {
@@ -72,10 +72,9 @@
 	return g, disks
 }
 
-// TestFullDiskEndsTheVotersPart fills the disk of the leader, then that of a
-// follower: each says so and promises nothing any more, and nothing accepted is
-// lost.
-func TestFullDiskEndsTheVotersPart(t *testing.T) {
+// TestVoterHaltsOnFullDisk fills the leader's disk: the leader reports it and
+// stops participating, and no committed value is lost.
+func TestVoterHaltsOnFullDisk(t *testing.T) {
 	g, disks := groupOnFaultyDisks(t)
 	g.propose("a")
 	full := g.leader()
@@ -84,14 +83,14 @@
 	_, err := full.Propose(context.Background(), []byte("lost"))
 	require.ErrorIs(t, err, ErrOutcomeUnknown)
 	require.ErrorIs(t, full.Status().DiskError, syscall.ENOSPC)
-	require.Eventually(t, func() bool { return full.Status().Halted }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return full.Status().Halted }, eventuallyTimeout, time.Millisecond)
 	require.NotEqual(t, consensus.Leader, full.Status().Role)
 	_, err = full.Propose(context.Background(), []byte("refused"))
 	require.ErrorIs(t, err, ErrDisk)
 
-	// It reached the others or not; what they decided stands.
+	// The proposal may or may not have reached the others; both outcomes are valid.
 	g.propose("b")
-	require.Equal(t, 1, disk.after, "nothing is written after a failure")
+	require.Equal(t, 1, disk.writesAfterFailure, "nothing is written after a failure")
 	leader := g.leader()
 	require.NotEqual(t, full, leader)
 
@@ -118,13 +117,13 @@
 	}
 	disks[failing.config.ID].fail(syscall.EIO)
 	g.propose("b")
-	require.Eventually(t, func() bool { return failing.Status().Halted }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return failing.Status().Halted }, eventuallyTimeout, time.Millisecond)
 	g.crash(leader.config.ID)
 	for _, voter := range g.running() {
 		if voter == failing {
 			continue
 		}
-		// Far longer than the others need for an election.
+		// Far longer than an election takes.
 		ctx, cancel := context.WithTimeout(context.Background(), 5*voter.config.ElectionTimeout)
 		defer cancel()
 		for ctx.Err() == nil {
@@ -135,8 +134,8 @@
 	}
 }
 
-// TestLeaderOnAStalledDiskHandsOver stops the answers of the leader's disk.
-func TestLeaderOnAStalledDiskHandsOver(t *testing.T) {
+// TestLeaderWithStalledDiskTransfersLeadership stalls the leader's disk.
+func TestLeaderWithStalledDiskTransfersLeadership(t *testing.T) {
 	g, disks := groupOnFaultyDisks(t)
 	g.propose("a")
 	slow := g.leader()
@@ -154,27 +153,27 @@
 			}
 		}
 		return false
-	}, patience, time.Millisecond)
+	}, eventuallyTimeout, time.Millisecond)
 	release()
 	<-waiting
 	g.propose("c")
 	g.requireValues(slow.config.ID, []string{"a", "b", "c"})
 }
 
-// TestDisplacedProposalIsNotDenied registers a second proposal at an index: the
-// first one may still be brought back by a voter that holds it.
-func TestDisplacedProposalIsNotDenied(t *testing.T) {
+// TestDisplacedProposalHasUnknownOutcome registers a second proposal at an
+// index: the first one may still be committed by a voter that has it in its log.
+func TestDisplacedProposalHasUnknownOutcome(t *testing.T) {
 	open := newOutcomes()
 	first, second := make(chan outcome, 1), make(chan outcome, 1)
-	open.await(5, awaited{term: 2, done: first})
-	open.await(5, awaited{term: 4, done: second})
+	open.register(5, pendingProposal{term: 2, done: first})
+	open.register(5, pendingProposal{term: 4, done: second})
 	require.ErrorIs(t, (<-first).err, ErrOutcomeUnknown)
 	open.applied(5, 4, "done", nil)
 	require.Equal(t, outcome{result: "done"}, <-second)
 }
 
-// TestUnwritableFolderIsRefused checks that a voter does not start where it
-// can't keep its promises.
+// TestUnwritableFolderIsRefused checks that a voter does not start with a data
+// folder that it can't write to.
 func TestUnwritableFolderIsRefused(t *testing.T) {
 	g := newGroup(t, 1, nil)
 	g.crash(1)
--- a/internal/voter/errors.go
+++ b/internal/voter/errors.go
@@ -9,28 +9,27 @@
 )
 
 var (
-	// ErrOutcomeUnknown says that a proposal may or may not be committed, now or
+	// ErrOutcomeUnknown means that a proposal may or may not be committed, now or
 	// later.
 	ErrOutcomeUnknown = errors.New("the outcome of the proposal is not known")
-	// ErrDisk says that the voter's disk failed or is full. The voter takes no
-	// part in the group until it is restarted. Nothing was proposed.
+	// ErrDisk means that the voter's disk failed or is full. The voter does not
+	// participate in the group until it is restarted. Nothing was proposed.
 	ErrDisk = errors.New("the voter's disk failed")
-	// ErrOverloaded says that a bound on waiting work is reached. Nothing was
-	// proposed.
+	// ErrOverloaded means that a queue limit is reached. Nothing was proposed.
 	ErrOverloaded = errors.New("the voter is overloaded")
-	// ErrClosed says that the voter is closed. Nothing was proposed.
+	// ErrClosed means that the voter is closed. Nothing was proposed.
 	ErrClosed = errors.New("the voter is closed")
 )
 
-// NotLeaderError says that this voter does not lead, and who is believed to.
-// Nothing was proposed, or what was proposed can never be committed.
+// NotLeaderError means that this voter is not the leader, and names the known
+// leader. Nothing was proposed, or the proposal can never be committed.
 type NotLeaderError struct {
 	// LeaderID is 0 when no leader is known.
 	LeaderID      uint64
 	LeaderAddress string
 }
 
-// Error names the leader.
+// Error returns a message with the leader's id and address.
 func (e *NotLeaderError) Error() string {
 	if e.LeaderID == 0 {
 		return "not the leader; no leader is known"
@@ -38,16 +37,16 @@
 	return fmt.Sprintf("not the leader; voter %d at %s leads", e.LeaderID, e.LeaderAddress)
 }
 
-// RefusedError says why the leader did not carry out a request. Nothing was
+// RefusedError holds the reason why the leader refused a request. Nothing was
 // proposed.
 type RefusedError struct {
 	Refusal consensus.Refusal
 }
 
-// Error returns the reason in words.
+// Error returns a message with the reason.
 func (e *RefusedError) Error() string { return "refused: " + e.Refusal.String() }
 
-// refusalError turns a refusal of the core into an error.
+// refusalError converts a refusal of the core to an error.
 func (v *Voter) refusalError(refusal consensus.Refusal) error {
 	switch refusal {
 	case consensus.RefusedNotLeader, consensus.RefusedTransferring:
@@ -63,8 +62,8 @@
 func (v *Voter) notLeader() *NotLeaderError {
 	leader := v.Status().Leader
 	if leader == v.config.ID {
-		// It is just handing over, and does not know its successor yet.
+		// A leadership transfer is in progress and the new leader is not known yet.
 		return &NotLeaderError{}
 	}
-	return &NotLeaderError{LeaderID: leader, LeaderAddress: v.addresses.of(leader)}
+	return &NotLeaderError{LeaderID: leader, LeaderAddress: v.addresses.lookup(leader)}
 }
--- a/internal/voter/group_test.go
+++ b/internal/voter/group_test.go
@@ -17,8 +17,8 @@
 	"github.com/martenstage/martenstage/internal/consensus"
 )
 
-// patience bounds waits for things that must happen; tests never measure it.
-const patience = 30 * time.Second
+// eventuallyTimeout bounds waits for events that must happen; no test depends on its value.
+const eventuallyTimeout = 30 * time.Second
 
 // register is a state machine that keeps every applied value in order.
 type register struct {
@@ -64,9 +64,9 @@
 
 // network delivers messages between voters of one process at once.
 type network struct {
-	mutex  sync.Mutex
-	voters map[uint64]*Voter
-	cut    map[uint64]bool
+	mutex    sync.Mutex
+	voters   map[uint64]*Voter
+	isolated map[uint64]bool
 }
 
 type endpoint struct {
@@ -77,7 +77,7 @@
 func (e endpoint) Send(to uint64, _ string, messages [][]byte) {
 	e.network.mutex.Lock()
 	target := e.network.voters[to]
-	if e.network.cut[to] || e.network.cut[e.from] {
+	if e.network.isolated[to] || e.network.isolated[e.from] {
 		target = nil
 	}
 	e.network.mutex.Unlock()
@@ -86,20 +86,20 @@
 	}
 }
 
-// group is a set of voters with folders that outlive their processes.
+// group is a set of voters whose data folders survive restarts.
 type group struct {
-	t        testing.TB
-	network  *network
-	folder   string
-	initial  []consensus.Member
-	machines map[uint64]*register
-	adjust   func(*Config)
+	t         testing.TB
+	network   *network
+	folder    string
+	initial   []consensus.Member
+	machines  map[uint64]*register
+	configure func(*Config)
 }
 
 func newGroup(t testing.TB, size int, adjust func(*Config)) *group {
 	g := &group{
-		t: t, folder: t.TempDir(), machines: map[uint64]*register{}, adjust: adjust,
-		network: &network{voters: map[uint64]*Voter{}, cut: map[uint64]bool{}},
+		t: t, folder: t.TempDir(), machines: map[uint64]*register{}, configure: adjust,
+		network: &network{voters: map[uint64]*Voter{}, isolated: map[uint64]bool{}},
 	}
 	for id := uint64(1); id <= uint64(size); id++ {
 		g.initial = append(g.initial, consensus.Member{ID: id, Address: address(id)})
@@ -122,8 +122,8 @@
 	if id <= uint64(len(g.initial)) {
 		config.InitialVoters = g.initial
 	}
-	if g.adjust != nil {
-		g.adjust(&config)
+	if g.configure != nil {
+		g.configure(&config)
 	}
 	return config
 }
@@ -140,7 +140,7 @@
 	return voter
 }
 
-// crash stops a voter without any farewell to the others.
+// crash stops a voter without a leadership transfer.
 func (g *group) crash(id uint64) {
 	g.network.mutex.Lock()
 	voter := g.network.voters[id]
@@ -161,7 +161,7 @@
 	return voters
 }
 
-// leader waits for a voter that leads and is confirmed by a quorum.
+// leader waits for a leader that is confirmed by a quorum and returns it.
 func (g *group) leader() *Voter {
 	var found *Voter
 	require.Eventually(g.t, func() bool {
@@ -176,23 +176,23 @@
 			}
 		}
 		return false
-	}, patience, 10*time.Millisecond)
+	}, eventuallyTimeout, 10*time.Millisecond)
 	return found
 }
 
-// propose gets a value committed, whoever leads.
+// propose retries a value with the current leader until it is committed.
 func (g *group) propose(value string) {
 	require.Eventually(g.t, func() bool {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), eventuallyTimeout)
 		defer cancel()
 		_, err := g.leader().Propose(ctx, []byte(value))
 		return err == nil
-	}, patience, time.Millisecond)
+	}, eventuallyTimeout, time.Millisecond)
 }
 
 // requireValues waits until a voter has applied exactly the values.
 func (g *group) requireValues(id uint64, values []string) {
 	g.t.Helper()
-	require.Eventually(g.t, func() bool { return len(g.machines[id].all()) >= len(values) }, patience, 5*time.Millisecond)
+	require.Eventually(g.t, func() bool { return len(g.machines[id].all()) >= len(values) }, eventuallyTimeout, 5*time.Millisecond)
 	require.Equal(g.t, values, g.machines[id].all())
 }
--- a/internal/voter/loop.go
+++ b/internal/voter/loop.go
@@ -8,30 +8,31 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// stalledTimeouts is after how many election timeouts of waiting for its disk a
-// leader hands over.
-const stalledTimeouts = 2
+// diskStallTimeouts is the number of election timeouts without a completed sync
+// after which a leader transfers leadership.
+const diskStallTimeouts = 2
 
 // coreLoop is the goroutine that owns the core.
 type coreLoop struct {
 	*Voter
-	timer     *time.Timer
-	lastReads map[uint64]*readRequest
-	readToken uint64
-	// pendingApply holds what did not fit into the ring.
+	timer        *time.Timer
+	pendingReads map[uint64]*readRequest
+	readToken    uint64
+	// pendingApply holds what did not fit into the applies ring.
 	pendingApply applyRequest
 	state        consensus.SoftState
 	synced       uint64
 	issued       uint64
 	// unsyncedSince is when the oldest unsynced write was issued.
 	unsyncedSince time.Time
-	// abandonAt is when proposals of a lost leadership end; zero for never.
-	abandonAt time.Time
-	failed    bool
+	// proposalDeadline is when the pending proposals of a former leader end with
+	// ErrOutcomeUnknown; zero for never.
+	proposalDeadline time.Time
+	failed           bool
 }
 
 func newCoreLoop(voter *Voter) *coreLoop {
-	return &coreLoop{Voter: voter, timer: time.NewTimer(0), lastReads: map[uint64]*readRequest{}}
+	return &coreLoop{Voter: voter, timer: time.NewTimer(0), pendingReads: map[uint64]*readRequest{}}
 }
 
 func (l *coreLoop) run() {
@@ -41,12 +42,12 @@
 	for {
 		select {
 		case <-l.stop:
-			l.failWaiting()
+			l.failQueuedChanges()
 			return
 		case <-l.timer.C:
 			l.step(consensus.Wake{})
-		case <-l.syncNotice:
-			l.takeSync()
+		case <-l.syncSignal:
+			l.handleSync()
 		case event := <-l.requests.Items():
 			l.step(event)
 		case change := <-l.changes.Items():
@@ -60,14 +61,14 @@
 		case read := <-gated(l, l.reads.Items()):
 			l.read(append([]*readRequest{read}, drain(l.reads, maxProposalBatch-1)...))
 		}
-		l.watchDisk()
-		l.abandon()
+		l.checkDiskStall()
+		l.expireProposals()
 		l.publish()
 	}
 }
 
 // gated returns nil, so that nothing is received, while the writer or the
-// applier lags behind.
+// applier lags.
 func gated[T any](l *coreLoop, items <-chan T) <-chan T {
 	lagging := l.writes.Depth() > l.writes.Capacity()/2 ||
 		l.applies.Depth() > l.applies.Capacity()/2 || len(l.pendingApply.entries) > 0
@@ -79,11 +80,11 @@
 
 func (l *coreLoop) step(event consensus.Event) consensus.Output {
 	output := l.core.Step(steadyclock.Now(), event)
-	l.senders.post(output.Messages)
+	l.senders.enqueue(output.Messages)
 	l.persist(output)
-	l.handOver(output)
-	l.answerReads(output.Reads)
-	l.noteState(output.State)
+	l.sendToApplier(output)
+	l.completeReads(output.Reads)
+	l.updateState(output.State)
 	if output.Wake.IsZero() {
 		l.timer.Stop()
 	} else {
@@ -103,12 +104,13 @@
 		l.issued = output.Persist.Sequence
 	}
 	if !l.writes.TryPush(writeRequest{unit: output.Persist, messages: output.AfterPersist}) {
-		l.diskFailed(errWritesStuck)
+		l.diskFailed(errWriteQueueFull)
 	}
 }
 
-// handOver gives committed entries to the applier, merging what does not fit.
-func (l *coreLoop) handOver(output consensus.Output) {
+// sendToApplier sends committed entries to the applier. If the ring is full, they
+// are merged into the next request.
+func (l *coreLoop) sendToApplier(output consensus.Output) {
 	if output.Restore != nil {
 		l.pendingApply = applyRequest{restore: output.Restore}
 	}
@@ -121,8 +123,8 @@
 	}
 }
 
-// takeSync tells the core what the writer achieved.
-func (l *coreLoop) takeSync() {
+// handleSync reports the writer's last sync or its failure to the core.
+func (l *coreLoop) handleSync() {
 	if l.diskError.Load() != nil {
 		if !l.failed {
 			l.failed = true
@@ -136,9 +138,9 @@
 	l.step(consensus.Persisted{Sequence: l.synced})
 }
 
-// watchDisk lets a leader hand over when its disk does not answer.
-func (l *coreLoop) watchDisk() {
-	if l.state.Role == consensus.Leader && l.unsyncedFor() > stalledTimeouts*l.config.ElectionTimeout {
+// checkDiskStall makes a leader transfer leadership if its disk stalls.
+func (l *coreLoop) checkDiskStall() {
+	if l.state.Role == consensus.Leader && l.unsyncedFor() > diskStallTimeouts*l.config.ElectionTimeout {
 		l.step(consensus.TransferLeadership{})
 	}
 }
@@ -150,26 +152,26 @@
 	return steadyclock.Since(l.unsyncedSince)
 }
 
-func (l *coreLoop) noteState(state consensus.SoftState) {
+func (l *coreLoop) updateState(state consensus.SoftState) {
 	previous := l.state
 	l.state = state
 	if previous.Role == consensus.Leader && state.Role != consensus.Leader {
-		// The new leader soon commits or overwrites what is still open.
-		l.abandonAt = steadyclock.Now().Add(2 * l.config.ElectionTimeout)
+		// The new leader soon commits or overwrites the pending proposals.
+		l.proposalDeadline = steadyclock.Now().Add(2 * l.config.ElectionTimeout)
 	}
 	if previous.Leader != state.Leader {
-		l.metrics.leaders.Inc()
+		l.metrics.leaderChanges.Inc()
 		l.logger.WithField(logging.FieldNode, l.config.ID).WithField("leader", state.Leader).
 			WithField("term", state.Term).WithField("voter_role", state.Role.String()).Info("leader changed")
 	}
 }
 
-// abandon ends proposals whose outcome did not become known in time.
-func (l *coreLoop) abandon() {
-	if l.abandonAt.IsZero() || steadyclock.Now().Before(l.abandonAt) {
+// expireProposals fails proposals whose outcome did not become known in time.
+func (l *coreLoop) expireProposals() {
+	if l.proposalDeadline.IsZero() || steadyclock.Now().Before(l.proposalDeadline) {
 		return
 	}
-	l.abandonAt = time.Time{}
+	l.proposalDeadline = time.Time{}
 	if l.state.Role != consensus.Leader {
 		l.outcomes.failUpTo(^uint64(0), ErrOutcomeUnknown)
 	}
--- a/internal/voter/membership.go
+++ b/internal/voter/membership.go
@@ -11,7 +11,7 @@
 
 // AddVoter makes a machine a voter: it joins as a learner, receives the log,
 // and is promoted once its synced log covers the commit index. A repeated call
-// goes on where an earlier one ended. On return the promotion is committed.
+// resumes where an earlier one ended. On return the promotion is committed.
 func (v *Voter) AddVoter(ctx context.Context, id uint64, address string) error {
 	member, known := v.member(id)
 	if known && member.Address != address {
@@ -28,29 +28,29 @@
 	return v.Promote(ctx, id)
 }
 
-// AddLearner lets a machine receive the log without a vote.
+// AddLearner adds a machine that receives the log but does not vote.
 func (v *Voter) AddLearner(ctx context.Context, id uint64, address string) error {
 	change := consensus.Change{Kind: consensus.AddLearner, ID: id, Address: address}
-	return errors.Wrapf(v.changeUntilDone(ctx, change), "adding learner %d", id)
+	return errors.Wrapf(v.changeWithRetry(ctx, change), "adding learner %d", id)
 }
 
-// Promote makes a learner a voter once its synced log covers the commit index,
-// within the context's time.
+// Promote makes a learner a voter once its synced log covers the commit index. It
+// retries until the context ends.
 func (v *Voter) Promote(ctx context.Context, id uint64) error {
-	err := v.changeUntilDone(ctx, consensus.Change{Kind: consensus.PromoteLearner, ID: id})
+	err := v.changeWithRetry(ctx, consensus.Change{Kind: consensus.PromoteLearner, ID: id})
 	return errors.Wrapf(err, "promoting learner %d", id)
 }
 
-// RemoveVoter takes a voter or learner out of the group. Its id can't be used
-// again. A leader that removes itself steps down afterwards.
+// RemoveVoter removes a voter or learner from the group. Its id can't be reused.
+// A leader that removes itself steps down afterwards.
 func (v *Voter) RemoveVoter(ctx context.Context, id uint64) error {
-	err := v.changeUntilDone(ctx, consensus.Change{Kind: consensus.RemoveMember, ID: id})
+	err := v.changeWithRetry(ctx, consensus.Change{Kind: consensus.RemoveMember, ID: id})
 	return errors.Wrapf(err, "removing voter %d", id)
 }
 
 // Move changes the address of a member.
 func (v *Voter) Move(ctx context.Context, id uint64, address string) error {
-	err := v.changeUntilDone(ctx, consensus.Change{Kind: consensus.MoveMember, ID: id, Address: address})
+	err := v.changeWithRetry(ctx, consensus.Change{Kind: consensus.MoveMember, ID: id, Address: address})
 	return errors.Wrapf(err, "moving member %d", id)
 }
 
@@ -63,12 +63,12 @@
 	return consensus.MemberStatus{}, false
 }
 
-// changeUntilDone repeats a change that is refused for reasons that pass.
-func (v *Voter) changeUntilDone(ctx context.Context, change consensus.Change) error {
+// changeWithRetry retries a change that is refused for a transient reason.
+func (v *Voter) changeWithRetry(ctx context.Context, change consensus.Change) error {
 	for {
 		err := v.changeOnce(ctx, change)
 		var refused *RefusedError
-		if !errors.As(err, &refused) || !passes(refused.Refusal) {
+		if !errors.As(err, &refused) || !isTransient(refused.Refusal) {
 			return err
 		}
 		select {
@@ -79,7 +79,7 @@
 	}
 }
 
-func passes(refusal consensus.Refusal) bool {
+func isTransient(refusal consensus.Refusal) bool {
 	switch refusal {
 	case consensus.RefusedChangePending, consensus.RefusedLearnerBehind:
 		return true
@@ -102,13 +102,13 @@
 	}
 }
 
-// transferPoll is how often a transfer is looked at.
-const transferPoll = 5 * time.Millisecond
+// transferPollInterval is the interval at which a transfer is polled for completion.
+const transferPollInterval = 5 * time.Millisecond
 
-// TransferLeadership hands leadership to a voter, 0 for the one with the
-// longest log, and returns once this voter no longer leads. When the successor
-// does not take over within an election timeout, it fails and this voter goes
-// on leading.
+// TransferLeadership transfers leadership to a voter, 0 for the one with the
+// highest match index, and returns once this voter no longer leads. If the target
+// does not take over within an election timeout, the core aborts the transfer and
+// this voter stays leader; the call then fails after two election timeouts.
 func (v *Voter) TransferLeadership(ctx context.Context, to uint64) error {
 	if v.Status().Role != consensus.Leader {
 		return v.notLeader()
@@ -130,7 +130,7 @@
 			return errors.Newf("leadership was not taken over by voter %d in time", to)
 		case <-v.loopDone:
 			return ErrClosed
-		case <-time.After(transferPoll):
+		case <-time.After(transferPollInterval):
 		}
 	}
 }
--- a/internal/voter/metrics.go
+++ b/internal/voter/metrics.go
@@ -6,17 +6,17 @@
 )
 
 type metrics struct {
-	term        prometheus.Gauge
-	leading     prometheus.Gauge
-	commit      prometheus.Gauge
-	applied     prometheus.Gauge
-	diskFailed  prometheus.Gauge
-	leaders     prometheus.Counter
-	syncSeconds prometheus.Histogram
-	groupUnits  prometheus.Histogram
-	proposals   *prometheus.CounterVec
-	dropped     *prometheus.CounterVec
-	depth       *prometheus.GaugeVec
+	term          prometheus.Gauge
+	leading       prometheus.Gauge
+	commit        prometheus.Gauge
+	applied       prometheus.Gauge
+	diskFailed    prometheus.Gauge
+	leaderChanges prometheus.Counter
+	syncSeconds   prometheus.Histogram
+	groupUnits    prometheus.Histogram
+	proposals     *prometheus.CounterVec
+	dropped       *prometheus.CounterVec
+	depth         *prometheus.GaugeVec
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -30,7 +30,7 @@
 		commit:     gauge("commit_index", "Highest index known to be committed."),
 		applied:    gauge("applied_index", "Highest index applied to the state machine."),
 		diskFailed: gauge("disk_failed_bool", "1 once the disk has failed."),
-		leaders: factory.NewCounter(prometheus.CounterOpts{
+		leaderChanges: factory.NewCounter(prometheus.CounterOpts{
 			Name: "martenstage_consensus_leader_changes_total", Help: "Changes of the leader that this voter saw.",
 		}),
 		syncSeconds: factory.NewHistogram(prometheus.HistogramOpts{
--- a/internal/voter/outcomes.go
+++ b/internal/voter/outcomes.go
@@ -2,40 +2,41 @@
 
 import "sync"
 
-// outcome is the end of a proposal.
+// outcome is the result or error of a proposal.
 type outcome struct {
 	result any
 	err    error
 }
 
-type awaited struct {
+type pendingProposal struct {
 	term uint64
 	done chan<- outcome
 }
 
-// outcomes holds the proposals that are in the log and not applied yet.
+// outcomes holds the proposals that are in the log but not applied yet.
 type outcomes struct {
 	mutex   sync.Mutex
-	byIndex map[uint64]awaited
+	byIndex map[uint64]pendingProposal
 }
 
-func newOutcomes() *outcomes { return &outcomes{byIndex: map[uint64]awaited{}} }
+func newOutcomes() *outcomes { return &outcomes{byIndex: map[uint64]pendingProposal{}} }
 
-// await registers a proposal at its index; done must have room for one outcome.
-// A former proposal at the index is gone from this voter's log, but as long as
-// nothing is committed at the index another voter can still bring it back.
-func (o *outcomes) await(index uint64, waiting awaited) {
+// register adds a proposal at its index; done must have capacity for one outcome.
+// An earlier proposal at the index is no longer in this voter's log, but as long
+// as nothing is committed at the index, another voter that has it can still
+// commit it.
+func (o *outcomes) register(index uint64, waiting pendingProposal) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if former, ok := o.byIndex[index]; ok {
-		former.done <- outcome{err: ErrOutcomeUnknown}
+	if displaced, ok := o.byIndex[index]; ok {
+		displaced.done <- outcome{err: ErrOutcomeUnknown}
 	}
 	o.byIndex[index] = waiting
 }
 
-// applied ends the proposal at an index with a result, or, when an entry of
-// another term took its place, with overwritten: then it can never be
-// committed.
+// applied completes the proposal at an index with a result, or with the error of
+// overwritten if an entry of another term was committed there: then the proposal
+// can never be committed.
 func (o *outcomes) applied(index, term uint64, result any, overwritten func() error) {
 	o.mutex.Lock()
 	waiting, ok := o.byIndex[index]
@@ -51,7 +52,7 @@
 	waiting.done <- outcome{result: result}
 }
 
-// failUpTo ends all proposals up to an index with an error.
+// failUpTo fails all proposals up to an index.
 func (o *outcomes) failUpTo(last uint64, err error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -63,7 +64,7 @@
 	}
 }
 
-// appliedIndex is the index that the state machine has reached.
+// appliedIndex tracks the last applied index and the callers that wait for one.
 type appliedIndex struct {
 	mutex   sync.Mutex
 	index   uint64
--- a/internal/voter/requests.go
+++ b/internal/voter/requests.go
@@ -9,14 +9,14 @@
 	"github.com/martenstage/martenstage/internal/consensus"
 )
 
-var errWritesStuck = errors.New("the disk has not answered for too long")
+var errWriteQueueFull = errors.New("the disk has not answered for too long")
 
 // proposalRequest waits for the outcome of one proposal.
 type proposalRequest struct {
 	data []byte
 	done chan outcome
-	// claimed is set by whoever comes first: the core loop that proposes it, or
-	// the caller who gives up.
+	// claimed is set either by the core loop before it proposes the data, or by
+	// the caller when it cancels, whichever is first.
 	claimed atomic.Bool
 }
 
@@ -34,11 +34,11 @@
 	done   chan outcome
 }
 
-// Propose appends data to the group's log and returns what the state machine
-// made of it once it is committed. Errors: *NotLeaderError, ErrOverloaded,
-// ErrDisk, ErrClosed and *RefusedError all say that it was not proposed or can
-// never be committed, as does the context's error when it ended before the
-// proposal was taken up; ErrOutcomeUnknown says that it may be committed.
+// Propose appends data to the group's log and returns the state machine's result
+// once it is committed and applied. *NotLeaderError, ErrOverloaded, ErrDisk,
+// ErrClosed and *RefusedError mean that it was not proposed or can never be
+// committed, as does the context's error if it ended before the core loop took
+// the proposal; ErrOutcomeUnknown means that it may be committed.
 func (v *Voter) Propose(ctx context.Context, data []byte) (any, error) {
 	request := &proposalRequest{data: data, done: make(chan outcome, 1)}
 	if !v.proposals.TryPush(request) {
@@ -56,19 +56,19 @@
 		if request.claimed.CompareAndSwap(false, true) {
 			return nil, ErrClosed
 		}
-		return v.lastOutcome(request.done)
+		return v.finalOutcome(request.done)
 	}
 }
 
-// lastOutcome waits for the end that halt gives to every open proposal.
-func (v *Voter) lastOutcome(done <-chan outcome) (any, error) {
+// finalOutcome waits for the outcome that halt reports for every pending proposal.
+func (v *Voter) finalOutcome(done <-chan outcome) (any, error) {
 	ended := <-done
 	return ended.result, ended.err
 }
 
-// ConfirmRead returns once the local state machine holds every commit that was
-// made before the call, confirmed by a quorum, and the index up to which that is.
-// On a voter that does not lead it fails with *NotLeaderError.
+// ConfirmRead waits until the local state machine has applied every entry that was
+// committed before the call, as confirmed by a quorum, and returns the index of
+// the last one. On a non-leader it fails with *NotLeaderError.
 func (v *Voter) ConfirmRead(ctx context.Context) (index uint64, err error) {
 	request := &readRequest{done: make(chan readAnswer, 1)}
 	if !v.reads.TryPush(request) {
@@ -88,8 +88,8 @@
 	return answer.index, v.AwaitApplied(ctx, answer.index)
 }
 
-// AwaitApplied returns once the local state machine has reached an index. Errors are the
-// context's and ErrClosed.
+// AwaitApplied waits until the local state machine has applied an index. It returns the
+// context's error or ErrClosed.
 func (v *Voter) AwaitApplied(ctx context.Context, index uint64) error {
 	select {
 	case <-v.applied.reached(index):
@@ -101,7 +101,7 @@
 	}
 }
 
-// propose steps the core with a batch of proposals. Tokens are positions.
+// propose steps the core with a batch of proposals. Tokens are positions in the batch.
 func (l *coreLoop) propose(batch []*proposalRequest) {
 	taken := make([]*proposalRequest, 0, len(batch))
 	proposals := make([]consensus.Proposal, 0, len(batch))
@@ -124,7 +124,7 @@
 		return
 	}
 	l.metrics.proposals.WithLabelValues("appended").Inc()
-	l.outcomes.await(result.Index, awaited{term: result.Term, done: done})
+	l.outcomes.register(result.Index, pendingProposal{term: result.Term, done: done})
 }
 
 func (l *coreLoop) change(request *changeRequest) {
@@ -137,15 +137,15 @@
 func (l *coreLoop) read(batch []*readRequest) {
 	for _, request := range batch {
 		l.readToken++
-		l.lastReads[l.readToken] = request
+		l.pendingReads[l.readToken] = request
 		l.step(consensus.ConfirmRead{Token: l.readToken})
 	}
 }
 
-func (l *coreLoop) answerReads(results []consensus.ReadResult) {
+func (l *coreLoop) completeReads(results []consensus.ReadResult) {
 	for _, result := range results {
-		request := l.lastReads[result.Token]
-		delete(l.lastReads, result.Token)
+		request := l.pendingReads[result.Token]
+		delete(l.pendingReads, result.Token)
 		answer := readAnswer{index: result.Index}
 		if result.Refusal != consensus.Accepted {
 			answer.err = l.refusalError(result.Refusal)
@@ -154,8 +154,8 @@
 	}
 }
 
-// failWaiting ends what waits in the rings when the loop ends.
-func (l *coreLoop) failWaiting() {
+// failQueuedChanges fails the queued membership changes when the loop ends.
+func (l *coreLoop) failQueuedChanges() {
 	for _, request := range drain(l.changes, requestRingCapacity) {
 		request.done <- outcome{err: ErrClosed}
 	}
--- a/internal/voter/sender.go
+++ b/internal/voter/sender.go
@@ -8,43 +8,43 @@
 	"github.com/martenstage/martenstage/internal/ring"
 )
 
-// addressBook knows where members are reached: where they last said so themselves, else by the
-// membership, which keeps the address that a member had when it was added.
-type addressBook struct {
-	mutex  sync.Mutex
-	member map[uint64]string
-	heard  map[uint64]string
+// addressTable maps member ids to addresses: the one that a member last reported itself, else the
+// one in the membership, which may be outdated if the member has moved.
+type addressTable struct {
+	mutex          sync.Mutex
+	fromMembership map[uint64]string
+	reported       map[uint64]string
 }
 
-func newAddressBook() *addressBook {
-	return &addressBook{member: map[uint64]string{}, heard: map[uint64]string{}}
+func newAddressTable() *addressTable {
+	return &addressTable{fromMembership: map[uint64]string{}, reported: map[uint64]string{}}
 }
 
-func (b *addressBook) of(id uint64) string {
+func (b *addressTable) lookup(id uint64) string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if address, ok := b.heard[id]; ok {
+	if address, ok := b.reported[id]; ok {
 		return address
 	}
-	return b.member[id]
+	return b.fromMembership[id]
 }
 
-// hear takes in the address that a voter gave for itself, and returns the former one of a member that
-// has moved; empty if it has not.
-func (b *addressBook) hear(id uint64, address string) (former string) {
-	if !isPlace(address) {
+// recordReported records the address that a voter reported for itself. It returns the previous address
+// if a member has moved, else an empty string.
+func (b *addressTable) recordReported(id uint64, address string) (former string) {
+	if !isDialable(address) {
 		return ""
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	listed, isMember := b.member[id]
-	before, known := b.heard[id]
-	if !isMember && !known && len(b.heard) >= maxPeers {
+	inMembership, isMember := b.fromMembership[id]
+	before, known := b.reported[id]
+	if !isMember && !known && len(b.reported) >= maxPeers {
 		return ""
 	}
-	b.heard[id] = address
+	b.reported[id] = address
 	if !known {
-		before = listed
+		before = inMembership
 	}
 	if !isMember || before == address {
 		return ""
@@ -52,23 +52,23 @@
 	return before
 }
 
-// isPlace reports whether an address is one to send to: a voter that listens at all addresses of its
-// machine names none.
-func isPlace(address string) bool {
+// isDialable reports whether messages can be sent to an address. A voter that listens on all interfaces
+// reports an unspecified address, which can't be used.
+func isDialable(address string) bool {
 	parsed, err := netip.ParseAddrPort(address)
 	return err == nil && !parsed.Addr().IsUnspecified()
 }
 
-func (b *addressBook) setMembers(members []consensus.MemberStatus) {
+func (b *addressTable) setMembers(members []consensus.MemberStatus) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	clear(b.member)
+	clear(b.fromMembership)
 	for _, member := range members {
-		b.member[member.ID] = member.Address
+		b.fromMembership[member.ID] = member.Address
 	}
 }
 
-// senders holds one goroutine for each other member.
+// senders runs one sending goroutine for each other member.
 type senders struct {
 	voter   *Voter
 	mutex   sync.Mutex
@@ -81,8 +81,8 @@
 	return &senders{voter: voter, peers: map[uint64]*ring.Ring[[]byte]{}, stop: make(chan struct{})}
 }
 
-// post queues messages, dropping the oldest when a member does not keep up.
-func (s *senders) post(messages []consensus.Message) {
+// enqueue queues messages, dropping the oldest ones of a member whose ring is full.
+func (s *senders) enqueue(messages []consensus.Message) {
 	for _, message := range messages {
 		message.FromAddress = s.voter.config.Address
 		queue := s.queue(message.To)
@@ -119,7 +119,7 @@
 			return
 		case message := <-queue.Items():
 			batch := append([][]byte{message}, drain(queue, peerRingCapacity)...)
-			if address := s.voter.addresses.of(id); address != "" {
+			if address := s.voter.addresses.lookup(id); address != "" {
 				s.voter.transport.Send(id, address, batch)
 			}
 		}
@@ -131,7 +131,7 @@
 	s.running.Wait()
 }
 
-// drain takes what waits in a ring, up to a number of items.
+// drain removes and returns the queued items of a ring, up to a limit.
 func drain[T any](queue *ring.Ring[T], limit int) []T {
 	var items []T
 	for len(items) < limit {
--- a/internal/voter/voter.go
+++ b/internal/voter/voter.go
@@ -37,21 +37,21 @@
 	changes   *ring.Ring[*changeRequest]
 	writes    *ring.Ring[writeRequest]
 	applies   *ring.Ring[applyRequest]
-	snapshots *ring.Ring[takenSnapshot]
+	snapshots *ring.Ring[machineSnapshot]
 
-	// synced is the last sequence that the writer made durable; syncNotice tells
-	// the core loop that it, or diskError, changed.
+	// synced is the last sequence that the writer made durable; syncSignal notifies
+	// the core loop that synced or diskError changed.
 	synced     atomic.Uint64
-	syncNotice chan struct{}
+	syncSignal chan struct{}
 	diskError  atomic.Pointer[error]
 
 	status    atomic.Pointer[Status]
-	addresses *addressBook
-	// moves bounds the lines about members that moved.
-	moves    logging.LineLimit
-	outcomes *outcomes
-	applied  appliedIndex
-	senders  *senders
+	addresses *addressTable
+	// moveLogLimit limits the rate of log lines about members that moved.
+	moveLogLimit logging.LineLimit
+	outcomes     *outcomes
+	applied      appliedIndex
+	senders      *senders
 
 	stopOnce sync.Once
 	stop     chan struct{}
@@ -63,12 +63,12 @@
 type Status struct {
 	consensus.Status
 	LeaderAddress string
-	// Applied is the index that the state machine has reached.
+	// Applied is the last index applied to the state machine.
 	Applied uint64
 	// DiskError is set once the disk has failed; the voter then neither votes
 	// nor leads.
 	DiskError error
-	// UnsyncedFor is how long the oldest write has been waiting for its sync.
+	// UnsyncedFor is how long the oldest unsynced write has been pending.
 	UnsyncedFor time.Duration
 }
 
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	if skipped := log.SkippedSnapshots(); skipped != nil {
-		logger.WithField(logging.FieldNode, config.ID).WithError(skipped).Warn("a damaged snapshot is not used; an older one is whole")
+		logger.WithField(logging.FieldNode, config.ID).WithError(skipped).Warn("skipped a damaged snapshot; loaded an older one")
 	}
 	voter, err := start(config, restored, log, machine)
 	if err != nil {
@@ -118,10 +118,10 @@
 		changes:   ring.New[*changeRequest](requestRingCapacity),
 		writes:    ring.New[writeRequest](writeRingCapacity),
 		applies:   ring.New[applyRequest](applyRingCapacity),
-		snapshots: ring.New[takenSnapshot](1),
+		snapshots: ring.New[machineSnapshot](1),
 
-		syncNotice: make(chan struct{}, 1),
-		addresses:  newAddressBook(),
+		syncSignal: make(chan struct{}, 1),
+		addresses:  newAddressTable(),
 		outcomes:   newOutcomes(),
 		stop:       make(chan struct{}),
 		loopDone:   make(chan struct{}),
@@ -145,8 +145,8 @@
 	go (&applier{voter: v, machine: machine}).run()
 }
 
-// Deliver takes in encoded messages of other members. What can't be decoded or
-// is for another voter is dropped, as is everything beyond the ring's room.
+// Deliver accepts encoded messages from other members. It drops messages that
+// can't be decoded, are for another voter or exceed the ring's capacity.
 func (v *Voter) Deliver(messages [][]byte) {
 	for _, data := range messages {
 		message, err := consensus.DecodeMessage(data)
@@ -161,53 +161,53 @@
 	}
 }
 
-// Hear takes in the address at which a voter says that it is reached: a member that moved is sent
-// messages there from now on.
+// Hear records the address that a voter reports for itself. Later messages to a member are sent there.
 func (v *Voter) Hear(id uint64, address string) {
-	former := v.addresses.hear(id, address)
+	former := v.addresses.recordReported(id, address)
 	if former == "" {
 		return
 	}
-	if leftOut, tells := v.moves.Take(steadyclock.Now()); tells {
+	if suppressed, allowed := v.moveLogLimit.Take(steadyclock.Now()); allowed {
 		v.logger.WithFields(logrus.Fields{
-			logging.FieldNode: v.config.ID, "member": id, "former": former, "address": address, "left_out": leftOut,
+			logging.FieldNode: v.config.ID, "member": id, "former": former, "address": address, "left_out": suppressed,
 		}).Info("member_moved")
 	}
 }
 
-// ReachedAt returns where a member is reached: it may have moved since the membership was last
-// changed. It is empty for an id that is unknown.
+// ReachedAt returns the current address of a member, which may have moved since the membership was
+// last changed. It is empty for an unknown id.
 func (v *Voter) ReachedAt(id uint64) string {
-	if id == v.config.ID && isPlace(v.config.Address) {
+	if id == v.config.ID && isDialable(v.config.Address) {
 		return v.config.Address
 	}
-	return v.addresses.of(id)
+	return v.addresses.lookup(id)
 }
 
 // Status returns the latest state.
 func (v *Voter) Status() Status {
 	status := *v.status.Load()
 	status.Applied = v.applied.load()
-	status.LeaderAddress = v.addresses.of(status.Leader)
+	status.LeaderAddress = v.addresses.lookup(status.Leader)
 	if failure := v.diskError.Load(); failure != nil {
 		status.DiskError = *failure
 	}
 	return status
 }
 
-// Close hands leadership over if this voter leads, within the context's time,
-// then stops and unlocks the folder. What was proposed and has no outcome yet
-// ends with ErrOutcomeUnknown.
+// Close transfers leadership if this voter leads, within the context's deadline,
+// then stops and unlocks the folder. Proposals without an outcome end with
+// ErrOutcomeUnknown.
 func (v *Voter) Close(ctx context.Context) error {
 	if v.Status().Role == consensus.Leader && v.Status().otherVoterActive() {
 		if err := v.TransferLeadership(ctx, 0); err != nil {
-			v.logger.WithField(logging.FieldNode, v.config.ID).WithError(err).Warn("leadership was not handed over")
+			v.logger.WithField(logging.FieldNode, v.config.ID).WithError(err).Warn("leadership transfer failed")
 		}
 	}
 	return v.halt()
 }
 
-// halt stops at once, as a crash would, but waits for the goroutines.
+// halt stops without a leadership transfer, as a crash would, but waits for the
+// goroutines.
 func (v *Voter) halt() error {
 	var err error
 	v.stopOnce.Do(func() {
--- a/internal/voter/voter_test.go
+++ b/internal/voter/voter_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// namesLeader proposes at a voter that does not lead and returns which leader it names.
+// namesLeader proposes on a non-leader and returns the error, which names the leader.
 func namesLeader(t *testing.T, voter *Voter) NotLeaderError {
 	t.Helper()
 	_, err := voter.Propose(context.Background(), []byte("x"))
@@ -41,8 +41,8 @@
 	return *refused
 }
 
-// TestFollowerNamesTheLeader asks each follower: it names nobody until it has heard the
-// leader, which a quorum does not wait for, and then the leader alone.
+// TestFollowerNamesTheLeader proposes on each follower: it names no leader until its first
+// contact with one, which may come after a commit by a quorum, and then the right one.
 func TestFollowerNamesTheLeader(t *testing.T) {
 	g := newGroup(t, 3, nil)
 	g.propose("a")
@@ -53,21 +53,21 @@
 		}
 		began, named := time.Now(), namesLeader(t, voter)
 		for ; named == (NotLeaderError{}); named = namesLeader(t, voter) {
-			require.Less(t, time.Since(began), patience, "it hears nobody")
+			require.Less(t, time.Since(began), eventuallyTimeout, "no contact with a leader")
 			time.Sleep(time.Millisecond)
 		}
 		require.Equal(t, NotLeaderError{LeaderID: leader.config.ID, LeaderAddress: leader.config.Address}, named)
 	}
 }
 
-// TestFollowerThatHeardNobodyNamesNobody cuts one of three voters off before the others elect
+// TestFollowerWithoutLeaderContactNamesNoLeader isolates one of three voters before the others elect
 // a leader.
-func TestFollowerThatHeardNobodyNamesNobody(t *testing.T) {
+func TestFollowerWithoutLeaderContactNamesNoLeader(t *testing.T) {
 	g := newGroup(t, 3, nil)
 	g.network.mutex.Lock()
-	g.network.cut[3] = true
+	g.network.isolated[3] = true
 	g.network.mutex.Unlock()
 	g.propose("a")
 	require.NotEqual(t, uint64(3), g.leader().config.ID)
-	require.Eventually(t, func() bool { return namesLeader(t, g.network.voters[3]) == NotLeaderError{} }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return namesLeader(t, g.network.voters[3]) == NotLeaderError{} }, eventuallyTimeout, time.Millisecond)
 }
--- a/internal/voter/writer.go
+++ b/internal/voter/writer.go
@@ -7,15 +7,15 @@
 	"github.com/martenstage/martenstage/internal/wait"
 )
 
-// writeRequest is one unit of writing, nil for none, and the messages that rest
-// on it and on all earlier ones.
+// writeRequest is one unit to write, nil for none, and the messages that may only
+// be sent once it and all earlier units are synced.
 type writeRequest struct {
 	unit     *consensus.Persist
 	messages []consensus.Message
 }
 
-// runWriter is the log writer: everything that waits is written in one
-// transaction with one sync, and while that runs the next group gathers.
+// runWriter is the log writer (group commit): it writes all queued units in one
+// transaction with one sync, while later requests queue for the next group.
 func (v *Voter) runWriter() {
 	defer v.running.Done()
 	for {
@@ -26,7 +26,7 @@
 				return
 			}
 		case <-v.loopDone:
-			// The loop pushes nothing more; what it did push is still written.
+			// The loop pushes nothing more; requests that it pushed are still written.
 			if group := drain(v.writes, writeRingCapacity); len(group) > 0 {
 				v.writeGroup(group)
 			}
@@ -47,8 +47,8 @@
 	if len(units) > 0 {
 		started := steadyclock.Now()
 		if err := v.store.Write(units); err != nil {
-			// What is on the disk is not known now, so nothing that rests on it
-			// may be said, ever.
+			// The disk content is unknown now, so messages that depend on it must
+			// never be sent.
 			v.diskFailed(err)
 			return false
 		}
@@ -56,18 +56,18 @@
 		v.metrics.groupUnits.Observe(float64(len(units)))
 		v.synced.Store(units[len(units)-1].Sequence)
 	}
-	// Only now, behind the sync: votes and acknowledgements are promises.
-	v.senders.post(messages)
+	// Votes and acknowledgements must only be sent after the sync.
+	v.senders.enqueue(messages)
 	if len(units) > 0 {
-		wait.Notify(v.syncNotice)
+		wait.Notify(v.syncSignal)
 	}
 	return true
 }
 
-// diskFailed notes the first failure and wakes the core loop.
+// diskFailed records the first failure and notifies the core loop.
 func (v *Voter) diskFailed(err error) {
 	if v.diskError.CompareAndSwap(nil, &err) {
 		v.logger.WithField(logging.FieldNode, v.config.ID).WithError(err).Error("disk failed; the voter stops voting and leading")
 	}
-	wait.Notify(v.syncNotice)
+	wait.Notify(v.syncSignal)
 }
