--- a/internal/raftlog/database.go
+++ b/internal/raftlog/database.go
@@ -15,26 +15,26 @@
 // Layout of a bbolt meta page, file format version 2: a page header, then the
 // fields up to the checksum (FNV-1a over the fields before it).
 const (
-	metaPages         = 2
-	pageHeaderBytes   = 16
-	metaCheckedBytes  = 56
-	metaBytes         = metaCheckedBytes + 8
-	metaPageSizeField = 8
-	metaHighField     = 40
-	smallestPageBytes = 512
+	metaPages          = 2
+	pageHeaderBytes    = 16
+	metaCheckedBytes   = 56
+	metaBytes          = metaCheckedBytes + 8
+	metaPageSizeField  = 8
+	metaHighWaterField = 40
+	smallestPageBytes  = 512
 )
 
 func openDatabase(options Options) (*bbolt.DB, error) {
 	path := filepath.Join(options.Folder, databaseName)
 	var database *bbolt.DB
-	err := withoutFaults(path, func() error {
+	err := recoverFaults(path, func() error {
 		var openError error
 		database, openError = bbolt.Open(path, fileMode, &bbolt.Options{
-			Timeout: lockWait, InitialMmapSize: initialMapBytes,
+			Timeout: lockTimeout, InitialMmapSize: initialMapBytes,
 			FreelistType: bbolt.FreelistMapType, OpenFile: options.OpenFile,
 		})
 		if openError == nil {
-			database.AllocSize = growBytes
+			database.AllocSize = fileGrowthBytes
 		}
 		return openError
 	})
@@ -47,16 +47,16 @@
 		}
 		return nil, errors.Wrapf(err, "opening %s", path)
 	}
-	// Under the lock, since another process could be writing before it.
+	// Check while holding the lock, since another process could write before that.
 	if err := checkMetaPages(path); err != nil {
 		return nil, errors.CombineErrors(err, database.Close())
 	}
 	return database, nil
 }
 
-// withoutFaults turns the panics and memory faults by which bbolt meets a
-// damaged file into an error.
-func withoutFaults(path string, run func() error) (err error) {
+// recoverFaults converts the panics and memory faults that bbolt raises on a
+// damaged file to an error.
+func recoverFaults(path string, run func() error) (err error) {
 	previous := debug.SetPanicOnFault(true)
 	defer debug.SetPanicOnFault(previous)
 	defer func() {
@@ -68,8 +68,8 @@
 }
 
 // checkMetaPages verifies both meta pages and the length of the file. bbolt
-// itself would go on with the older page and so forget the last transaction,
-// which was promised to other voters.
+// itself would fall back to the older page and lose the last transaction, which
+// may have been acknowledged to other voters.
 func checkMetaPages(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -87,7 +87,7 @@
 			return errors.Wrapf(err, "%s is damaged at offset %d", path, page*pageBytes)
 		}
 		pageBytes = max(int64(meta.pageBytes), smallestPageBytes)
-		if needed := int64(meta.highPage) * pageBytes; info.Size() < needed {
+		if needed := int64(meta.highWaterPage) * pageBytes; info.Size() < needed {
 			return errors.Newf("%s is damaged: it ends at offset %d of %d", path, info.Size(), needed)
 		}
 	}
@@ -95,8 +95,8 @@
 }
 
 type metaPage struct {
-	pageBytes uint32
-	highPage  uint64
+	pageBytes     uint32
+	highWaterPage uint64
 }
 
 func readMeta(file *os.File, offset int64) (metaPage, error) {
@@ -110,7 +110,7 @@
 		return metaPage{}, errors.New("the checksum of the meta page does not match")
 	}
 	return metaPage{
-		pageBytes: binary.NativeEndian.Uint32(data[metaPageSizeField:]),
-		highPage:  binary.NativeEndian.Uint64(data[metaHighField:]),
+		pageBytes:     binary.NativeEndian.Uint32(data[metaPageSizeField:]),
+		highWaterPage: binary.NativeEndian.Uint64(data[metaHighWaterField:]),
 	}, nil
 }
--- a/internal/raftlog/doc.go
+++ b/internal/raftlog/doc.go
@@ -1,15 +1,15 @@
-// Package raftlog keeps the durable state of one voter in its data folder: the
-// hard state and log entries in a bbolt file, snapshots in files of their own.
+// Package raftlog stores the durable state of one voter in its data folder: the
+// hard state and log entries in a bbolt file, snapshots in separate files.
 //
-//	<folder>/consensus.db          hard state, log entries, their bounds
+//	<folder>/consensus.db          hard state, log entries and the log's bounds
 //	<folder>/snapshots/<index>     state machine snapshots, the newest two
 //
-// Many units of writing share one transaction and so one sync (group commit).
-// A transaction that a crash cut short is not there after the restart; that is
-// the torn tail, and nothing in it was promised to anybody. Everything that a
-// finished transaction wrote was promised, so that any damage to it, be it a
-// checksum that does not match, a missing entry or a file that is too short,
-// makes Open refuse with the file and the index or offset: a voter that goes on
-// without entries that it acknowledged can lose committed changes. Such a
-// machine is replaced (docs/operate/replacing-a-control-machine.md).
+// Many write units share one transaction and so one sync (group commit). A
+// transaction interrupted by a crash is absent after the restart (a torn tail);
+// no message that depends on it was sent. Completed transactions may have been
+// acknowledged to other voters, so on any damage to them, such as a checksum
+// mismatch, a missing entry or a truncated file, Open fails and names the file
+// and the index or offset: a voter that continues without entries that it
+// acknowledged can lose committed changes. Such a machine must be replaced
+// (docs/operate/replacing-a-control-machine.md).
 package raftlog
--- a/internal/raftlog/load.go
+++ b/internal/raftlog/load.go
@@ -9,11 +9,11 @@
 	"github.com/martenstage/martenstage/internal/consensus"
 )
 
-// load reads and verifies everything. When a crash came between writing an
-// installed snapshot and dropping the log that it replaces, it drops the log.
+// load reads and verifies the complete state. If a crash happened between saving
+// an installed snapshot and removing the log that it replaces, it removes the log.
 func (l *Log) load() (consensus.Restored, error) {
 	var snapshot *consensus.Snapshot
-	snapshot, l.skipped = l.snapshots.newest()
+	snapshot, l.skippedSnapshots = l.snapshots.newest()
 	restored := consensus.Restored{Snapshot: snapshot}
 	var limits bounds
 	err := l.database.View(func(transaction *bbolt.Tx) error {
@@ -29,24 +29,25 @@
 		covered = snapshot.Index
 	}
 	if limits.Base > covered {
-		return consensus.Restored{}, errors.Newf("%s begins at index %d, but the newest whole snapshot ends at %d (%v)",
-			l.databasePath(), limits.Base+1, covered, l.skipped)
+		return consensus.Restored{}, errors.Newf("%s begins at index %d, but the newest intact snapshot ends at %d (%v)",
+			l.databasePath(), limits.Base+1, covered, l.skippedSnapshots)
 	}
 	empty := limits.Base == covered && limits.Last == covered
-	if snapshot != nil && !empty && !holds(restored.Entries, snapshot) {
+	if snapshot != nil && !empty && !continuesFrom(restored.Entries, snapshot) {
 		restored.Entries = nil
 		return restored, l.Write([]*consensus.Persist{{Snapshot: snapshot, ReplaceLog: true}})
 	}
 	return restored, nil
 }
 
-// read fills in hard state and entries and returns the bounds of the log.
+// read loads the hard state and entries into restored and returns the bounds of
+// the log.
 func (l *Log) read(transaction *bbolt.Tx, restored *consensus.Restored) (bounds, error) {
 	tables := tables{
 		entries: transaction.Bucket(entriesBucket), state: transaction.Bucket(stateBucket), mapping: l.database.Info().Data,
 	}
 	if tables.entries == nil {
-		return bounds{}, errors.New("it has no table of log entries")
+		return bounds{}, errors.New("the bucket of log entries is missing")
 	}
 	limits, err := tables.bounds()
 	if err != nil {
@@ -57,11 +58,11 @@
 	}
 	expected := limits.Base
 	cursor := tables.entries.Cursor()
-	for key, sealed := cursor.First(); key != nil; key, sealed = cursor.Next() {
+	for key, record := cursor.First(); key != nil; key, record = cursor.Next() {
 		expected++
-		entry, err := readEntry(key, sealed, expected)
+		entry, err := readEntry(key, record, expected)
 		if err != nil {
-			return bounds{}, tables.at(sealed, err)
+			return bounds{}, tables.withOffset(record, err)
 		}
 		restored.Entries = append(restored.Entries, entry)
 	}
@@ -71,26 +72,26 @@
 	return limits, nil
 }
 
-func readEntry(key, sealed []byte, expected uint64) (consensus.Entry, error) {
+func readEntry(key, record []byte, expected uint64) (consensus.Entry, error) {
 	if len(key) != len(entryKey(0)) || binary.BigEndian.Uint64(key) != expected {
 		return consensus.Entry{}, errors.Newf("index %d: the entry is missing", expected)
 	}
-	data, err := unseal(key, sealed)
+	data, err := verifyChecksum(key, record)
 	if err != nil {
 		return consensus.Entry{}, errors.Wrapf(err, "index %d", expected)
 	}
-	// The memory of the file must not be used behind the transaction; decoding
-	// copies what it keeps.
+	// The mapped memory must not be used after the transaction; decoding copies
+	// the data.
 	entry, err := consensus.DecodeEntry(data)
 	if err == nil && entry.Index != expected {
-		err = errors.Newf("it holds index %d", entry.Index)
+		err = errors.Newf("it contains index %d", entry.Index)
 	}
 	return entry, errors.Wrapf(err, "index %d", expected)
 }
 
-// holds reports whether the log goes on from a snapshot: it has the snapshot's
-// last entry, or begins right behind it.
-func holds(entries []consensus.Entry, snapshot *consensus.Snapshot) bool {
+// continuesFrom reports whether the log continues a snapshot: it contains the
+// snapshot's last entry, or begins right after it.
+func continuesFrom(entries []consensus.Entry, snapshot *consensus.Snapshot) bool {
 	if len(entries) == 0 {
 		return false
 	}
--- a/internal/raftlog/log.go
+++ b/internal/raftlog/log.go
@@ -16,49 +16,51 @@
 	databaseName = "consensus.db"
 	folderMode   = 0o750
 	fileMode     = 0o640
-	// lockWait is how long Open waits for a process that is just ending.
-	lockWait = 200 * time.Millisecond
+	// lockTimeout bounds how long Open waits for the lock of a process that is exiting.
+	lockTimeout = 200 * time.Millisecond
 	// initialMapBytes avoids remapping while the log is small.
 	initialMapBytes = 64 << 20
-	// growBytes is how much the file grows at a time. bbolt's own 16 MiB would be
-	// counted as memory, as the file is mapped, while most logs hold less than one.
-	growBytes = 1 << 20
-	// appendFillPercent fills pages well, because keys only grow.
+	// fileGrowthBytes is the step in which the file grows. The file is mapped, so bbolt's
+	// default of 16 MiB would count as memory, while most logs hold less than 1 MiB.
+	fileGrowthBytes = 1 << 20
+	// appendFillPercent is high because keys are appended in ascending order.
 	appendFillPercent = 0.95
-	// firstTransaction is the number of the first one in a new bbolt file.
+	// firstTransaction is the id of the first transaction in a new bbolt file.
 	firstTransaction = 2
 )
 
-// Options say which folder to open.
+// Options configure Open.
 type Options struct {
-	// Folder is made when missing.
+	// Folder is created if missing.
 	Folder string
-	// VoterID must be the one that the folder was made with.
+	// VoterID must be the id that the folder was created with.
 	VoterID uint64
-	// InitialVoters start a new group in a folder that is empty; every initial
-	// voter must be given the same. They are ignored in a folder that is not.
+	// InitialVoters start a new group in an empty folder; they must be the same on
+	// every initial voter. They are ignored if the folder is not empty.
 	InitialVoters []consensus.Member
-	// OpenFile replaces os.OpenFile for the database, so that tests can take the
-	// file away; nil for the default.
+	// OpenFile replaces os.OpenFile for the database, so that tests can close the
+	// file; nil for the default.
 	OpenFile func(path string, flag int, mode os.FileMode) (*os.File, error)
 }
 
-// Log is the open data folder of a voter. Write and Close are for one goroutine.
+// Log is the open data folder of a voter. Write and Close must not be called
+// concurrently.
 type Log struct {
 	folder    string
 	database  *bbolt.DB
 	snapshots snapshotFolder
-	// skipped says what was wrong with snapshots newer than the one used.
-	skipped error
-	failure error
+	// skippedSnapshots describes the damage of snapshots newer than the loaded one.
+	skippedSnapshots error
+	writeError       error
 }
 
-// SkippedSnapshots says which snapshots were damaged, when Open went back to an
-// older one and the log reached back far enough; nil for none.
-func (l *Log) SkippedSnapshots() error { return l.skipped }
+// SkippedSnapshots returns an error that names the damaged snapshots if Open fell
+// back to an older one that the log continues; nil for none.
+func (l *Log) SkippedSnapshots() error { return l.skippedSnapshots }
 
-// Open locks the folder, verifies all that it holds and returns it. Damage, a
-// folder in use and a wrong voter id are errors with exitcode.DataFolder.
+// Open locks the folder, verifies its content and returns the restored state.
+// Damage, a folder in use and a wrong voter id are errors with
+// exitcode.DataFolder.
 func Open(options Options) (*Log, consensus.Restored, error) {
 	log, restored, err := open(options)
 	if err != nil {
@@ -78,7 +80,7 @@
 	}
 	log := &Log{folder: options.Folder, database: database, snapshots: snapshots}
 	var restored consensus.Restored
-	err = withoutFaults(log.databasePath(), func() error {
+	err = recoverFaults(log.databasePath(), func() error {
 		var prepareError error
 		restored, prepareError = log.prepare(options)
 		return prepareError
@@ -89,12 +91,12 @@
 	return log, restored, nil
 }
 
-// prepare makes a new folder or reads an old one.
+// prepare initializes a new folder or loads an existing one.
 func (l *Log) prepare(options Options) (consensus.Restored, error) {
 	if err := l.initialize(options); err != nil {
 		return consensus.Restored{}, err
 	}
-	// The entries of files in a folder last only once the folder is synced.
+	// Directory entries are durable only once the directory is synced.
 	for _, folder := range []string{l.snapshots.path, l.folder, filepath.Dir(filepath.Clean(l.folder))} {
 		if err := syncFolder(folder); err != nil {
 			return consensus.Restored{}, err
@@ -103,7 +105,8 @@
 	return l.load()
 }
 
-// initialize checks whose folder it is, and fills a new one.
+// initialize checks the voter id of an existing folder, or writes the initial
+// state of a new one.
 func (l *Log) initialize(options Options) error {
 	var known *identity
 	err := l.database.View(func(transaction *bbolt.Tx) error {
@@ -122,13 +125,13 @@
 		return known.check(options)
 	}
 	return l.database.Update(func(transaction *bbolt.Tx) error {
-		return l.fill(transaction, options)
+		return l.writeInitialState(transaction, options)
 	})
 }
 
-// fill writes the first transaction of a new folder: the group's initial
-// membership is its first entry, the same on every initial voter.
-func (l *Log) fill(transaction *bbolt.Tx, options Options) error {
+// writeInitialState writes the first transaction of a new folder. The first log
+// entry is the initial membership, the same on every initial voter.
+func (l *Log) writeInitialState(transaction *bbolt.Tx, options Options) error {
 	if err := l.checkNew(transaction); err != nil {
 		return err
 	}
@@ -148,11 +151,11 @@
 	if len(options.InitialVoters) == 0 {
 		return nil
 	}
-	return tables.apply(firstPersist(options.InitialVoters))
+	return tables.apply(initialPersist(options.InitialVoters))
 }
 
-// checkNew makes sure that a folder without an identity is new, and not one
-// that lost it.
+// checkNew verifies that a folder without an identity record is new and has not
+// lost the record.
 func (l *Log) checkNew(transaction *bbolt.Tx) error {
 	if transaction.ID() > firstTransaction {
 		return errors.Newf("%s is damaged: it was in use, but does not say by which voter", l.databasePath())
@@ -164,7 +167,7 @@
 	return err
 }
 
-func firstPersist(voters []consensus.Member) *consensus.Persist {
+func initialPersist(voters []consensus.Member) *consensus.Persist {
 	const firstTerm = 1
 	return &consensus.Persist{
 		HardState: &consensus.HardState{Term: firstTerm},
@@ -175,31 +178,31 @@
 	}
 }
 
-// Write makes units of writing durable, in order and in one transaction: when
-// it returns nil, all are synced. After an error nobody knows what is on the
-// disk, so that every later Write fails as well.
+// Write makes units durable, in order and in one transaction: if it returns nil,
+// all are synced. After an error the disk content is unknown, so every later
+// Write fails as well.
 func (l *Log) Write(units []*consensus.Persist) error {
-	if l.failure != nil {
-		return l.failure
+	if l.writeError != nil {
+		return l.writeError
 	}
 	if err := l.write(units); err != nil {
-		l.failure = errors.Wrapf(err, "writing to %s", l.folder)
+		l.writeError = errors.Wrapf(err, "writing to %s", l.folder)
 	}
-	return l.failure
+	return l.writeError
 }
 
 func (l *Log) write(units []*consensus.Persist) error {
-	kept := false
+	snapshotSaved := false
 	for _, unit := range units {
 		if unit.Snapshot == nil {
 			continue
 		}
-		// Before the transaction: the entries that it removes are only needed no
-		// more once the snapshot that covers them is synced.
+		// Save the snapshot before the transaction: entries may only be removed
+		// once the snapshot that covers them is synced.
 		if err := l.snapshots.save(*unit.Snapshot); err != nil {
 			return err
 		}
-		kept = true
+		snapshotSaved = true
 	}
 	err := l.database.Update(func(transaction *bbolt.Tx) error {
 		tables, err := createTables(transaction)
@@ -213,7 +216,7 @@
 		}
 		return nil
 	})
-	if err == nil && kept {
+	if err == nil && snapshotSaved {
 		l.snapshots.prune()
 	}
 	return err
--- a/internal/raftlog/log_test.go
+++ b/internal/raftlog/log_test.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// requireDamage checks that a folder is refused with words that say where.
+// requireDamage checks that Open refuses a folder with an error that contains the
+// given words, which locate the damage.
 func requireDamage(t *testing.T, folder string, words ...string) {
 	t.Helper()
 	log, _, err := Open(options(folder))
@@ -57,8 +58,8 @@
 	}
 }
 
-// TestReopenedLogHoldsWhatWasWritten compares the folder, closed and opened
-// again at random moments, with a model in memory.
+// TestReopenedLogHoldsWhatWasWritten closes and reopens the folder at random
+// points and compares it with an in-memory model.
 func TestReopenedLogHoldsWhatWasWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		folder, err := os.MkdirTemp("", "raftlog")
@@ -116,8 +117,8 @@
 	return unit
 }
 
-// TestSmallLogTakesLittleSpace holds the file, which is mapped and so takes memory,
-// to the size of what it holds.
+// TestSmallLogTakesLittleSpace checks that the file, which counts as memory because
+// it is mapped, stays small for a small log.
 func TestSmallLogTakesLittleSpace(t *testing.T) {
 	folder := t.TempDir()
 	log, _ := mustOpen(t, folder)
@@ -185,7 +186,7 @@
 	path := filepath.Join(folder, databaseName)
 	data, err := os.ReadFile(path)
 	require.NoError(t, err)
-	// Copies of the entry in pages that are free now are damaged with it.
+	// Copies of the entry in free pages are damaged as well.
 	var offsets []string
 	for offset := range data {
 		if slices.Equal(data[offset:min(len(data), offset+10)], []byte("value-1-25")) {
@@ -199,7 +200,7 @@
 	require.True(t, slices.ContainsFunc(offsets, func(words string) bool { return strings.Contains(err.Error(), words) }), "%v of %v", err, offsets)
 }
 
-// usedPages returns the file without the space that bbolt reserves behind the
+// usedPages returns the file without the space that bbolt preallocates after the
 // pages in use, which is far larger than those.
 func usedPages(t *testing.T, path string) []byte {
 	data, err := os.ReadFile(path)
@@ -211,13 +212,14 @@
 	for page := range int64(metaPages) {
 		meta, err := readMeta(file, page*int64(os.Getpagesize()))
 		require.NoError(t, err)
-		used = max(used, meta.highPage*uint64(meta.pageBytes))
+		used = max(used, meta.highWaterPage*uint64(meta.pageBytes))
 	}
 	return data[:used]
 }
 
-// TestAnyDamageIsRefusedOrHarmless flips bytes all over the file: a folder
-// either opens with everything that was written, or is refused by name.
+// TestAnyDamageIsRefusedOrHarmless flips bytes throughout the file: the folder
+// either opens with all written data, or is refused with an error that names the
+// file.
 func TestAnyDamageIsRefusedOrHarmless(t *testing.T) {
 	folder := writtenFolder(t)
 	log, intact := mustOpen(t, folder)
@@ -234,7 +236,7 @@
 			refused++
 			require.Equal(t, exitcode.DataFolder, exitcode.Of(err), "offset %d", offset)
 			require.ErrorContains(t, err, path)
-			// A process that is refused ends, and its locks with it.
+			// In production the process exits here, which releases its locks.
 			require.NoError(t, os.Remove(path))
 			continue
 		}
@@ -247,9 +249,9 @@
 	t.Logf("%d flips were refused, %d hit nothing in use", refused, harmless)
 }
 
-// TestTornTailIsCut replays crashes amid a transaction: some of its pages are
-// on the disk, but not the meta page that makes them count, which bbolt writes
-// last. The folder opens with everything before that transaction.
+// TestTornTailIsCut simulates crashes during a transaction: some of its pages are
+// on disk, but not the meta page that commits them, which bbolt writes last. The
+// folder opens with the state before that transaction.
 func TestTornTailIsCut(t *testing.T) {
 	folder := writtenFolder(t)
 	path := filepath.Join(folder, databaseName)
@@ -280,9 +282,9 @@
 	}
 }
 
-// TestFullDiskIsNotGuessedAbout fails to store a snapshot: the unit of writing
-// fails, and with it all that follow.
-func TestFullDiskIsNotGuessedAbout(t *testing.T) {
+// TestWritesFailAfterSnapshotSaveFails makes saving a snapshot fail: that
+// write and all later ones must fail.
+func TestWritesFailAfterSnapshotSaveFails(t *testing.T) {
 	folder := writtenFolder(t)
 	log, before := mustOpen(t, folder)
 	snapshots := log.snapshots.path
@@ -296,8 +298,8 @@
 	require.NoError(t, log.Close())
 }
 
-// TestLostRecordIsRefused damages the names of records that every folder has: a
-// voter without its hard state would forget its vote.
+// TestLostRecordIsRefused damages the keys of records that every folder has: a
+// voter without its hard state would lose its vote.
 func TestLostRecordIsRefused(t *testing.T) {
 	for _, key := range [][]byte{hardStateKey, boundsKey, identityKey} {
 		folder := writtenFolder(t)
@@ -348,8 +350,8 @@
 	requireDamage(t, folder, newest, "index 91", "ends at 20")
 }
 
-// TestCrashBetweenSnapshotAndLog leaves an installed snapshot beside the log
-// that it replaces.
+// TestCrashBetweenSnapshotAndLog simulates a crash after an installed snapshot was
+// saved and before the log that it replaces was removed.
 func TestCrashBetweenSnapshotAndLog(t *testing.T) {
 	folder := writtenFolder(t)
 	snapshots := snapshotFolder{path: filepath.Join(folder, snapshotsName)}
@@ -376,12 +378,12 @@
 	})
 }
 
-// FuzzReadEntry feeds records of the table of entries: one that is taken holds
-// the index of its key and is sealed by its checksum.
+// FuzzReadEntry checks that an accepted record of the entries table holds the
+// index of its key and has a valid checksum.
 func FuzzReadEntry(f *testing.F) {
 	entry := entries(7, 7, 2)[0]
 	key := entryKey(entry.Index)
-	f.Add(key, seal(key, consensus.EncodeEntry(entry)))
+	f.Add(key, addChecksum(key, consensus.EncodeEntry(entry)))
 	f.Add([]byte{0}, []byte{1})
 	f.Fuzz(func(t *testing.T, key, sealed []byte) {
 		read, err := readEntry(key, sealed, entry.Index)
@@ -393,13 +395,14 @@
 	})
 }
 
-// FuzzSealedRecord damages a record: whatever is read back was written.
+// FuzzSealedRecord checks that a record is read back unchanged, and that a damaged
+// one is refused.
 func FuzzSealedRecord(f *testing.F) {
 	f.Add([]byte("identity"), []byte(`{"format":1,"voter_id":1}`), uint16(9), byte(1))
 	f.Fuzz(func(t *testing.T, key, data []byte, position uint16, flip byte) {
-		sealed := seal(key, data)
+		sealed := addChecksum(key, data)
 		sealed[int(position)%len(sealed)] ^= flip
-		read, err := unseal(key, sealed)
+		read, err := verifyChecksum(key, sealed)
 		if flip == 0 {
 			require.NoError(t, err)
 			require.Equal(t, data, read)
--- a/internal/raftlog/race_test.go
+++ b/internal/raftlog/race_test.go
@@ -2,8 +2,7 @@
 
 package raftlog
 
-// damageStride is the step between damaged bytes. Under the race detector Go
-// checks pointers, and ends the process where bbolt reads a damaged bucket
-// inside a page; the offsets of this step do not meet one. All others are
-// covered without the race detector.
+// damageStride is the step between damaged bytes. With the race detector, Go's
+// pointer checks abort the process when bbolt reads a damaged inline bucket; the
+// offsets of this step hit none. Runs without the race detector cover the others.
 const damageStride = 61
--- a/internal/raftlog/snapshot.go
+++ b/internal/raftlog/snapshot.go
@@ -24,8 +24,8 @@
 	snapshotHeadBytes = 24
 )
 
-// snapshotMagic opens each file; a checksum and the length of the encoded
-// snapshot that follows complete the head.
+// snapshotMagic starts the header of each file. A checksum and the length of the
+// encoded snapshot complete the header; the snapshot follows it.
 var snapshotMagic = []byte("MSTSNAP1")
 
 // snapshotFolder holds one file for each snapshot, named by its index.
@@ -33,9 +33,9 @@
 	path string
 }
 
-// save makes a snapshot durable. A crash leaves the whole file or none: the
-// data is synced under another name before the name says that it is there, and
-// the name lasts once the folder is synced.
+// save makes a snapshot durable. A crash leaves either the complete file or none:
+// the data is synced under a temporary name, then renamed, and the folder is
+// synced to make the rename durable.
 func (f snapshotFolder) save(snapshot consensus.Snapshot) error {
 	final := f.file(snapshot.Index)
 	temporary := final + temporarySuffix
@@ -43,7 +43,7 @@
 		return err
 	}
 	if err := os.Rename(temporary, final); err != nil {
-		return errors.Wrap(err, "naming a snapshot")
+		return errors.Wrap(err, "renaming a snapshot")
 	}
 	return syncFolder(f.path)
 }
@@ -60,8 +60,8 @@
 	return errors.Wrapf(errors.CombineErrors(err, file.Close()), "writing snapshot %s", path)
 }
 
-// newest returns the newest whole snapshot, nil when there is none, and what
-// was wrong with newer ones.
+// newest returns the newest intact snapshot, nil if there is none, and an error
+// that describes the damage of newer ones.
 func (f snapshotFolder) newest() (*consensus.Snapshot, error) {
 	indexes, err := f.list()
 	if err != nil {
@@ -79,7 +79,7 @@
 }
 
 // list returns the indexes of the snapshots in ascending order, and removes
-// files that a crash left unfinished.
+// incomplete files left by a crash.
 func (f snapshotFolder) list() ([]uint64, error) {
 	files, err := os.ReadDir(f.path)
 	if err != nil {
@@ -103,8 +103,8 @@
 	return indexes, nil
 }
 
-// prune removes all but the newest snapshots. A failure only costs space, and
-// the next snapshot tries again.
+// prune removes all but the newest snapshots. A failure only wastes space; the
+// next snapshot retries it.
 func (f snapshotFolder) prune() {
 	indexes, err := f.list()
 	if err != nil {
@@ -151,7 +151,7 @@
 	}
 	snapshot, err := decodeSnapshotFile(data)
 	if err == nil && snapshot.Index != index {
-		err = errors.Newf("it holds index %d", snapshot.Index)
+		err = errors.Newf("it contains index %d", snapshot.Index)
 	}
 	return snapshot, errors.Wrapf(err, "snapshot %s is damaged", path)
 }
--- a/internal/raftlog/tables.go
+++ b/internal/raftlog/tables.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// formatVersion is that of the folder; a newer one is refused.
+	// formatVersion is the supported folder format; a newer one is refused.
 	formatVersion = 1
 	checksumBytes = 8
 )
@@ -26,7 +26,7 @@
 	boundsKey     = []byte("bounds")
 )
 
-// identity tells whose folder it is.
+// identity is the stored format version and voter id of a folder.
 type identity struct {
 	Format  int    `json:"format"`
 	VoterID uint64 `json:"voter_id"`
@@ -42,9 +42,9 @@
 	return nil
 }
 
-// bounds tell which entries the log must hold: those behind Base up to Last.
-// bbolt has no checksums of its own, so that entries lost from the end of a
-// page would go unnoticed without it.
+// bounds define which entries the log must contain: those after Base up to Last.
+// bbolt has no checksums on data pages, so without bounds entries lost from the
+// end of a page would go undetected.
 type bounds struct {
 	Base uint64 `json:"base"`
 	Last uint64 `json:"last"`
@@ -54,13 +54,13 @@
 type tables struct {
 	entries *bbolt.Bucket
 	state   *bbolt.Bucket
-	// mapping is the address at which bbolt mapped the file; 0 when offsets are
-	// of no interest.
+	// mapping is the address at which bbolt mapped the file; 0 if offsets are not
+	// needed.
 	mapping uintptr
 }
 
-// at adds to an error where in the file the record lies that it is about.
-func (t tables) at(record []byte, err error) error {
+// withOffset adds the file offset of a record to an error about it.
+func (t tables) withOffset(record []byte, err error) error {
 	if err == nil || t.mapping == 0 {
 		return err
 	}
@@ -77,7 +77,7 @@
 	return tables{entries: entries, state: state}, err
 }
 
-// apply carries out one unit of writing.
+// apply writes one unit.
 func (t tables) apply(unit *consensus.Persist) error {
 	limits, err := t.bounds()
 	if err != nil {
@@ -121,7 +121,7 @@
 	}
 	for _, entry := range entries {
 		key := entryKey(entry.Index)
-		if err := t.entries.Put(key, seal(key, consensus.EncodeEntry(entry))); err != nil {
+		if err := t.entries.Put(key, addChecksum(key, consensus.EncodeEntry(entry))); err != nil {
 			return limits, err
 		}
 	}
@@ -137,8 +137,8 @@
 	return removeWhile(t.entries, entryKey(0), func(found uint64) bool { return found <= index })
 }
 
-// removeWhile collects the keys first: a bbolt cursor may skip keys when it
-// deletes as it goes.
+// removeWhile removes keys starting at from while they match. It collects the keys
+// first: a bbolt cursor may skip keys if they are deleted during iteration.
 func removeWhile(bucket *bbolt.Bucket, from []byte, matches func(index uint64) bool) error {
 	var keys [][]byte
 	cursor := bucket.Cursor()
@@ -164,8 +164,8 @@
 
 func (t tables) putIdentity(known identity) error { return t.putJSON(identityKey, known) }
 
-// bounds and the hard state are in every folder from its first transaction on,
-// so that a missing one is damage and not a new folder.
+// bounds returns the stored bounds. They and the hard state exist in every folder
+// from its first transaction on, so a missing record means damage.
 func (t tables) bounds() (bounds, error) {
 	var limits bounds
 	found, err := t.getJSON(boundsKey, &limits)
@@ -178,20 +178,20 @@
 func (t tables) putBounds(limits bounds) error { return t.putJSON(boundsKey, limits) }
 
 func (t tables) hardState() (consensus.HardState, error) {
-	sealed := t.state.Get(hardStateKey)
-	if sealed == nil {
+	record := t.state.Get(hardStateKey)
+	if record == nil {
 		return consensus.HardState{}, errors.New("the hard state is missing")
 	}
-	data, err := unseal(hardStateKey, sealed)
+	data, err := verifyChecksum(hardStateKey, record)
 	if err != nil {
-		return consensus.HardState{}, t.at(sealed, errors.Wrap(err, "hard state"))
+		return consensus.HardState{}, t.withOffset(record, errors.Wrap(err, "hard state"))
 	}
 	state, err := consensus.DecodeHardState(data)
-	return state, t.at(sealed, err)
+	return state, t.withOffset(record, err)
 }
 
 func (t tables) putHardState(state consensus.HardState) error {
-	return t.state.Put(hardStateKey, seal(hardStateKey, consensus.EncodeHardState(state)))
+	return t.state.Put(hardStateKey, addChecksum(hardStateKey, consensus.EncodeHardState(state)))
 }
 
 func (t tables) putJSON(key []byte, value any) error {
@@ -199,36 +199,36 @@
 	if err != nil {
 		return err
 	}
-	return t.state.Put(key, seal(key, data))
+	return t.state.Put(key, addChecksum(key, data))
 }
 
 func (t tables) getJSON(key []byte, value any) (bool, error) {
-	sealed := t.state.Get(key)
-	if sealed == nil {
+	record := t.state.Get(key)
+	if record == nil {
 		return false, nil
 	}
-	data, err := unseal(key, sealed)
+	data, err := verifyChecksum(key, record)
 	if err == nil {
 		err = json.Unmarshal(data, value)
 	}
-	return true, t.at(sealed, errors.Wrapf(err, "%s", key))
+	return true, t.withOffset(record, errors.Wrapf(err, "%s", key))
 }
 
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// seal puts a checksum over key and data in front of the data.
-func seal(key, data []byte) []byte {
-	sealed := make([]byte, checksumBytes, checksumBytes+len(data))
-	binary.BigEndian.PutUint64(sealed, checksum(key, data))
-	return append(sealed, data...)
+// addChecksum returns the data prefixed by a checksum over key and data.
+func addChecksum(key, data []byte) []byte {
+	record := make([]byte, checksumBytes, checksumBytes+len(data))
+	binary.BigEndian.PutUint64(record, checksum(key, data))
+	return append(record, data...)
 }
 
-func unseal(key, sealed []byte) ([]byte, error) {
-	if len(sealed) < checksumBytes {
-		return nil, errors.Newf("%d bytes are too few", len(sealed))
+func verifyChecksum(key, record []byte) ([]byte, error) {
+	if len(record) < checksumBytes {
+		return nil, errors.Newf("%d bytes are too few", len(record))
 	}
-	data := sealed[checksumBytes:]
-	if binary.BigEndian.Uint64(sealed) != checksum(key, data) {
+	data := record[checksumBytes:]
+	if binary.BigEndian.Uint64(record) != checksum(key, data) {
 		return nil, errors.New("the checksum does not match")
 	}
 	return data, nil
