--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -8,110 +8,111 @@
 	"github.com/samber/lo"
 )
 
-// Bounds of a book.
+// Bounds of the ledger.
 const (
-	// MaxTrials is how many trials of one request may be under way, or lost with the
-	// routers that made them, before one has told its outcome.
+	// MaxTrials is the maximum number of trials of one request without a reported outcome:
+	// in flight, or lost with the routers that ran them.
 	MaxTrials = 2
-	// trialsThatEnd is how many trials have to end their servers until a request is
-	// quarantined. However many servers end before, all may have ended together, as when a
-	// rack is lost: a harmless request that runs everywhere is at each of them, and its first
-	// trial may meet the last.
-	trialsThatEnd = 2
-	// MaxRecords bounds the requests of which there are records.
+	// trialFailuresToQuarantine is the number of trials whose servers terminate after which a
+	// request is quarantined. Terminations outside trials don't count: servers may fail together,
+	// as when a rack is lost, while a harmless request runs on all of them. One trial is not
+	// enough either, since the first may run on the last server of that rack.
+	trialFailuresToQuarantine = 2
+	// MaxRecords is the maximum number of requests with a record.
 	MaxRecords = 256
-	// keptServers bounds the names of ended servers that are kept of a request.
-	keptServers = 8
+	// maxServerNames is the maximum number of terminated servers that a record names.
+	maxServerNames = 8
 )
 
-// Kind is what an order asks for.
+// Kind is the kind of a command.
 type Kind string
 
-// Kinds of orders.
+// Kinds of commands.
 const (
-	// Report tells of servers that ended under a request.
+	// Report reports servers that terminated while they ran a request.
 	Report Kind = "report"
-	// Try asks for a trial of a suspected request.
+	// Try requests a trial of a suspected request.
 	Try Kind = "try"
-	// Return gives a trial back in which no server ran the request, or none ended.
+	// Return releases a trial in which no server ran the request, or none terminated.
 	Return Kind = "return"
-	// Clear tells that a server answered a suspected request.
+	// Clear ends a suspicion because a server answered the request.
 	Clear Kind = "clear"
-	// Lift ends suspicion or quarantine by an operator's order.
+	// Lift ends a suspicion or quarantine on an operator's request.
 	Lift Kind = "lift"
-	// Expire ends a suspicion that is old, and lets a request that was quarantined for
-	// long be tried again.
+	// Expire ends an old suspicion, and turns an old quarantine back into a suspicion so
+	// that the request can be tried again.
 	Expire Kind = "expire"
 )
 
-// Order is one change of a book.
+// Order is a command that changes the ledger.
 type Order struct {
 	Kind        Kind        `json:"kind"`
 	Fingerprint Fingerprint `json:"fingerprint"`
-	// Servers are those that ended, of a Report.
+	// Servers are the terminated servers of a Report.
 	Servers []string `json:"servers,omitempty"`
-	// Tried says that they ended in a trial.
+	// Tried reports whether they terminated in a trial.
 	Tried bool `json:"tried,omitempty"`
-	// Route and Caller say where the request came from; By names who gives the order, and
-	// At is when, by the clock of the node that took it. They decide nothing but which
-	// record makes room for another.
+	// Route and Caller identify the origin of the request, By the issuer of the command, and
+	// At its time by the clock of the node that accepted it. They affect only which record
+	// is evicted when the ledger is full.
 	Route  string    `json:"route,omitempty"`
 	Caller string    `json:"caller,omitempty"`
 	By     string    `json:"by,omitempty"`
 	At     time.Time `json:"at"`
 }
 
-// maxText bounds the texts of an order, bytes.
-const maxText = 200
+// maxTextBytes is the maximum length of each text field of a command.
+const maxTextBytes = 200
 
-// Check returns an error if an order is not one that a book takes.
+// Check returns an error if the command is invalid.
 func (o Order) Check() error {
 	if !slices.Contains([]Kind{Report, Try, Return, Clear, Lift, Expire}, o.Kind) {
-		return errors.Newf("%.40q is no kind of order", o.Kind)
+		return errors.Newf("unknown command kind %.40q", o.Kind)
 	}
 	for _, text := range append([]string{o.Route, o.Caller, o.By}, o.Servers...) {
-		if len(text) > maxText {
-			return errors.Newf("a text of an order has more than %d bytes", maxText)
+		if len(text) > maxTextBytes {
+			return errors.Newf("a text field of the command exceeds %d bytes", maxTextBytes)
 		}
 	}
 	return nil
 }
 
-// Standing says how a request is to be treated.
+// Standing is the status of a request, which determines how routers handle it.
 type Standing uint8
 
-// Standings.
+// Statuses of a request.
 const (
-	// Unknown requests are served like any.
+	// Unknown requests are served without restriction.
 	Unknown Standing = iota
-	// Suspected ones are tried at one server first.
+	// Suspected requests are sent to a single server first, as a trial.
 	Suspected
-	// Quarantined ones are sent to no server.
+	// Quarantined requests are not sent to any server.
 	Quarantined
 )
 
-// String returns the standing in lower case.
+// String returns the status in lower case.
 func (s Standing) String() string { return [...]string{"unknown", "suspected", "quarantined"}[s] }
 
-// Record is what is known of one request.
+// Record is the state of one suspected or quarantined request.
 type Record struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Quarantined bool        `json:"quarantined,omitempty"`
-	// Ended counts the servers that ended under it, Servers names the first of them.
+	// Ended counts the servers that terminated while they ran the request; Servers names
+	// the first of them.
 	Ended   int      `json:"ended"`
 	Servers []string `json:"servers"`
-	// Trials are under way, or were lost with their routers.
+	// Trials counts the trials that are in flight or were lost with their routers.
 	Trials int `json:"trials,omitempty"`
-	// Tried names the servers that ended in trials, as many as quarantine takes.
+	// Tried names the servers that terminated in trials, up to trialFailuresToQuarantine.
 	Tried  []string `json:"tried,omitempty"`
 	Route  string   `json:"route"`
 	Caller string   `json:"caller"`
-	// By is who told first, At when.
+	// By is the node that reported the request first, At the time of that report.
 	By string    `json:"by"`
 	At time.Time `json:"at"`
 }
 
-// Standing returns that of the record's request.
+// Standing returns the status of the record's request.
 func (r Record) Standing() Standing {
 	if r.Quarantined {
 		return Quarantined
@@ -119,144 +120,145 @@
 	return Suspected
 }
 
-// Book holds the records. Equal orders in equal sequence give equal books.
+// Book is the ledger of records: a deterministic state machine, so that replicas that apply
+// the same commands in the same order hold the same state.
 type Book struct {
 	// Records are in the order in which their requests were first reported.
 	Records []Record `json:"records,omitempty"`
-	// Revision rises whenever a standing changes.
+	// Revision increases whenever the status of a request changes.
 	Revision uint64 `json:"revision,omitempty"`
 }
 
-// Outcome is what an order did.
+// Outcome is the result of a command.
 type Outcome struct {
-	// Granted says that a trial may be made.
+	// Granted reports whether the requested trial may run.
 	Granted bool `json:"granted,omitempty"`
-	// Before and After are the standings of the request around the order.
+	// Before and After are the statuses of the request before and after the command.
 	Before Standing `json:"before"`
 	After  Standing `json:"after"`
 }
 
-// Apply carries out an order. One about a request without a record, other than a Report,
-// changes nothing.
-func (b *Book) Apply(order Order) Outcome {
-	at := b.find(order.Fingerprint)
-	outcome := Outcome{Before: b.standing(at)}
+// Apply executes a command. For a request without a record, only a Report has an effect.
+func (b *Book) Apply(command Order) Outcome {
+	index := b.indexOf(command.Fingerprint)
+	outcome := Outcome{Before: b.statusAt(index)}
 	switch {
-	case order.Kind == Report:
-		b.report(at, order)
-	case at < 0:
-	case order.Kind == Try:
-		outcome.Granted = b.try(&b.Records[at])
-	case order.Kind == Return:
-		b.Records[at].Trials = max(0, b.Records[at].Trials-1)
-	case order.Kind == Expire && b.Records[at].Quarantined:
-		// One more trial that ends its server quarantines it again.
-		b.Records[at].Quarantined, b.Records[at].Trials = false, 0
-		b.Records[at].Tried = b.Records[at].Tried[:min(len(b.Records[at].Tried), trialsThatEnd-1)]
-	case order.Kind == Clear && b.Records[at].Quarantined:
-		// Its answer is from before the quarantine, or from a router that does not know it.
+	case command.Kind == Report:
+		b.applyReport(index, command)
+	case index < 0:
+	case command.Kind == Try:
+		outcome.Granted = b.grantTrial(&b.Records[index])
+	case command.Kind == Return:
+		b.Records[index].Trials = max(0, b.Records[index].Trials-1)
+	case command.Kind == Expire && b.Records[index].Quarantined:
+		// A single further trial whose server terminates quarantines the request again.
+		b.Records[index].Quarantined, b.Records[index].Trials = false, 0
+		b.Records[index].Tried = b.Records[index].Tried[:min(len(b.Records[index].Tried), trialFailuresToQuarantine-1)]
+	case command.Kind == Clear && b.Records[index].Quarantined:
+		// Ignored: the answer predates the quarantine, or the router has not learned of it yet.
 	default:
-		b.Records = slices.Delete(b.Records, at, at+1)
+		b.Records = slices.Delete(b.Records, index, index+1)
 	}
-	outcome.After = b.standing(b.find(order.Fingerprint))
+	outcome.After = b.statusAt(b.indexOf(command.Fingerprint))
 	if outcome.After != outcome.Before {
 		b.Revision++
 	}
 	return outcome
 }
 
-func (b *Book) find(fingerprint Fingerprint) int {
+func (b *Book) indexOf(fingerprint Fingerprint) int {
 	return slices.IndexFunc(b.Records, func(r Record) bool { return r.Fingerprint == fingerprint })
 }
 
-func (b *Book) standing(at int) Standing {
-	if at < 0 {
+func (b *Book) statusAt(index int) Standing {
+	if index < 0 {
 		return Unknown
 	}
-	return b.Records[at].Standing()
+	return b.Records[index].Standing()
 }
 
-// report takes in that servers ended under a request, whose record is at a position; below 0
-// for none.
-func (b *Book) report(at int, order Order) {
-	if at < 0 {
-		b.makeRoom()
+// applyReport adds terminated servers to the record at index, or to a new record if index is
+// negative.
+func (b *Book) applyReport(index int, command Order) {
+	if index < 0 {
+		b.evict()
 		b.Records = append(b.Records, Record{
-			Fingerprint: order.Fingerprint, Route: order.Route, Caller: order.Caller, By: order.By, At: order.At,
+			Fingerprint: command.Fingerprint, Route: command.Route, Caller: command.Caller, By: command.By, At: command.At,
 		})
-		at = len(b.Records) - 1
+		index = len(b.Records) - 1
 	}
-	known := &b.Records[at]
-	for _, server := range order.Servers {
-		if slices.Contains(known.Servers, server) {
+	record := &b.Records[index]
+	for _, server := range command.Servers {
+		if slices.Contains(record.Servers, server) {
 			continue
 		}
-		known.Ended++
-		if len(known.Servers) < keptServers {
-			// Readers may hold the former list.
-			known.Servers = append(slices.Clone(known.Servers), server)
+		record.Ended++
+		if len(record.Servers) < maxServerNames {
+			// Copied because readers may still hold the previous slice.
+			record.Servers = append(slices.Clone(record.Servers), server)
 		}
 	}
-	if order.Tried {
-		known.endTrial(order.Servers)
+	if command.Tried {
+		record.addTrialFailure(command.Servers)
 	}
 }
 
-// endTrial takes in that servers ended in a trial. One that is reported again counts once.
-func (r *Record) endTrial(servers []string) {
-	fresh := lo.Without(lo.Uniq(servers), r.Tried...)
-	if len(fresh) == 0 {
+// addTrialFailure records servers that terminated in a trial. Repeated reports of a server
+// count once.
+func (r *Record) addTrialFailure(servers []string) {
+	newServers := lo.Without(lo.Uniq(servers), r.Tried...)
+	if len(newServers) == 0 {
 		return
 	}
 	r.Trials = max(0, r.Trials-1)
-	r.Tried = lo.Slice(slices.Concat(r.Tried, fresh), 0, trialsThatEnd)
-	r.Quarantined = r.Quarantined || len(r.Tried) == trialsThatEnd
+	r.Tried = lo.Slice(slices.Concat(r.Tried, newServers), 0, trialFailuresToQuarantine)
+	r.Quarantined = r.Quarantined || len(r.Tried) == trialFailuresToQuarantine
 }
 
-func (b *Book) try(tried *Record) bool {
-	if tried.Quarantined || tried.Trials >= MaxTrials {
+func (b *Book) grantTrial(record *Record) bool {
+	if record.Quarantined || record.Trials >= MaxTrials {
 		return false
 	}
-	tried.Trials++
+	record.Trials++
 	return true
 }
 
-// makeRoom removes a record of the caller that has most of them, so that one with many
-// such requests pushes out none of others: the oldest that is only suspected, else the
-// oldest.
-func (b *Book) makeRoom() {
+// evict makes space in a full ledger by removing a record of the caller with the most
+// records, so that one caller cannot evict the records of others: its oldest suspected
+// record, or else its oldest.
+func (b *Book) evict() {
 	if len(b.Records) < MaxRecords {
 		return
 	}
 	counts := make(map[string]int)
-	most := b.Records[0].Caller
-	for _, held := range b.Records {
-		counts[held.Caller]++
+	largestCaller := b.Records[0].Caller
+	for _, record := range b.Records {
+		counts[record.Caller]++
 	}
-	for _, held := range b.Records {
-		if counts[held.Caller] > counts[most] {
-			most = held.Caller
+	for _, record := range b.Records {
+		if counts[record.Caller] > counts[largestCaller] {
+			largestCaller = record.Caller
 		}
 	}
-	at := slices.IndexFunc(b.Records, func(r Record) bool { return r.Caller == most && !r.Quarantined })
-	if at < 0 {
-		at = slices.IndexFunc(b.Records, func(r Record) bool { return r.Caller == most })
+	index := slices.IndexFunc(b.Records, func(r Record) bool { return r.Caller == largestCaller && !r.Quarantined })
+	if index < 0 {
+		index = slices.IndexFunc(b.Records, func(r Record) bool { return r.Caller == largestCaller })
 	}
-	b.Records = slices.Delete(b.Records, at, at+1)
+	b.Records = slices.Delete(b.Records, index, index+1)
 	b.Revision++
 }
 
-// Entry is a record as routers are told of it.
+// Entry is the part of a record that is published to routers.
 type Entry struct {
 	Fingerprint Fingerprint `json:"f"`
 	Quarantined bool        `json:"q,omitempty"`
 }
 
-// Entries returns all records as routers are told of them.
+// Entries returns all records in the form published to routers.
 func (b *Book) Entries() []Entry {
 	entries := make([]Entry, 0, len(b.Records))
-	for _, held := range b.Records {
-		entries = append(entries, Entry{Fingerprint: held.Fingerprint, Quarantined: held.Quarantined})
+	for _, record := range b.Records {
+		entries = append(entries, Entry{Fingerprint: record.Fingerprint, Quarantined: record.Quarantined})
 	}
 	return entries
 }
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,15 +1,16 @@
-// Package quarantine decides which requests are sent to no server any more because they end
-// the servers that run them (a query of death: Beyer et al., Site Reliability Engineering,
-// 2016, ch. 22). It has no I/O and reads no clock.
+// Package quarantine decides which requests are no longer sent to any server because they
+// crash the servers that run them (queries of death: Beyer et al., Site Reliability
+// Engineering, 2016, ch. 22). It does no I/O and reads no clock.
 //
-//	fingerprint.go  which requests are the same
-//	book.go         the records of all routers, driven by a replicated log
-//	view.go         what one router knows of them
+//	fingerprint.go  identifies equal requests
+//	book.go         the ledger of suspected requests, driven by a replicated log
+//	view.go         one router's copy of the ledger, with its own unpublished reports
 //
-// A request is suspected as soon as a server ended while it ran there and no server has
-// answered it. Servers also end for other reasons, many at once when a rack is lost, and
-// whatever runs there is suspected with them. So a suspected request is tried: the next
-// time that it comes, it goes to one server alone. If that one ends too, the request is
-// quarantined; if it answers, the suspicion ends. The book grants trials, so that over all
-// routers no more than MaxTrials servers are risked, whoever fails meanwhile.
+// A request becomes suspected when a server terminates while running it and no server has
+// answered it. Servers also terminate for other reasons, many at once when a rack is lost,
+// and every request running there becomes suspected. A suspected request is therefore tried:
+// its next occurrence is sent to a single server. If the server answers, the suspicion ends;
+// once the servers of two trials have terminated, the request is quarantined. The ledger
+// grants trials, so that all routers together put at most MaxTrials servers at risk at a
+// time, even if routers fail meanwhile.
 package quarantine
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -10,44 +10,43 @@
 	"github.com/martenstage/martenstage/internal/message"
 )
 
-// Fingerprint identifies a request by what a server is handed: two requests with the same
-// one can't be told apart by the servers that run them, but for the name of the try and
-// the time that is left.
+// Fingerprint identifies a request by what a server receives. To a server, two requests with
+// the same fingerprint differ only in the attempt ID and the remaining time.
 type Fingerprint [sha256.Size]byte
 
-// headerCredentials names the header by which a caller proves who it is (RFC 9110,
+// headerCredentials is the header that carries the caller's credentials (RFC 9110,
 // section 11.6.2).
 const headerCredentials = "Authorization"
 
-// FingerprintOf digests method, host, target, the caller's credentials or tenant and the whole body
-// by SHA-256 (FIPS 180-4), each with its length before it, so that no two different requests
-// give the same input.
+// FingerprintOf returns the SHA-256 digest (FIPS 180-4) of the method, host, target, the
+// caller's credentials or tenant, and the body. Each part is prefixed with its length, so
+// that different requests never give the same hash input.
 func FingerprintOf(request *message.Request) Fingerprint {
 	digest := sha256.New()
 	var length [binary.MaxVarintLen64]byte
-	add := func(part []byte) {
-		// A hash takes all that is written.
+	writePart := func(part []byte) {
+		// Writing to a hash never fails.
 		_, _ = digest.Write(length[:binary.PutUvarint(length[:], uint64(len(part)))])
 		_, _ = digest.Write(part)
 	}
 	for _, part := range []string{request.Method, request.Host, request.Target} {
-		add([]byte(part))
+		writePart([]byte(part))
 	}
 	for _, credentials := range request.Header[headerCredentials] {
-		add([]byte(credentials))
+		writePart([]byte(credentials))
 	}
 	if request.Tenant != "" {
-		add([]byte(request.Tenant))
+		writePart([]byte(request.Tenant))
 	}
-	add(request.Body)
+	writePart(request.Body)
 	return Fingerprint(digest.Sum(nil))
 }
 
-// shortBytes of a fingerprint stand in log lines.
-const shortBytes = 8
+// shortLength is the number of bytes of a fingerprint that Short keeps.
+const shortLength = 8
 
-// Short returns the beginning of the fingerprint, for logs.
-func (f Fingerprint) Short() string { return hex.EncodeToString(f[:shortBytes]) }
+// Short returns a prefix of the fingerprint in hexadecimal digits, for logs.
+func (f Fingerprint) Short() string { return hex.EncodeToString(f[:shortLength]) }
 
 // String returns the whole fingerprint in hexadecimal digits.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
@@ -59,7 +58,7 @@
 func (f *Fingerprint) UnmarshalText(text []byte) error {
 	decoded, err := hex.DecodeString(string(text))
 	if err != nil || len(decoded) != len(f) {
-		return errors.Newf("%.80q is no fingerprint: 64 hexadecimal digits", text)
+		return errors.Newf("invalid fingerprint %.80q: want 64 hexadecimal digits", text)
 	}
 	copy(f[:], decoded)
 	return nil
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -10,7 +10,7 @@
 	"github.com/martenstage/martenstage/internal/quarantine"
 )
 
-func TestFingerprintIsThatOfWhatAServerIsHanded(t *testing.T) {
+func TestFingerprintCoversWhatAServerReceives(t *testing.T) {
 	base := func() *message.Request {
 		return &message.Request{
 			Method: "POST", Target: "/a/b?c=d", Host: "h", Body: []byte("body"), ID: "first",
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestFingerprintTravelsAsText(t *testing.T) {
+func TestFingerprintRoundTripsAsJSON(t *testing.T) {
 	fingerprint := quarantine.FingerprintOf(&message.Request{Method: "GET", Target: "/"})
 	text, err := json.Marshal(fingerprint)
 	require.NoError(t, err)
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -10,192 +10,194 @@
 	"github.com/martenstage/martenstage/internal/quarantine"
 )
 
-// Times of the fleet, in steps.
+// Parameters of the fleet; times are in steps.
 const (
-	// fleetContact is by when a router that runs has heard of everything.
-	fleetContact = 12
-	// fleetNews and fleetOrders are the longest ways of news to a router, and of an order to
-	// the book.
-	fleetNews   = 6
-	fleetOrders = 5
-	// fleetShards is how many servers a request reaches.
+	// fleetConvergence is the time within which a running router has received every update.
+	fleetConvergence = 12
+	// maxUpdateDelay and maxCommandDelay are the longest delays of an update to a router and of
+	// a command to the ledger.
+	maxUpdateDelay  = 6
+	maxCommandDelay = 5
+	// fleetShards is the number of servers that a request is sent to.
 	fleetShards = 6
-	// fleetBound is how many attempts may follow after three servers ended and every router
-	// has had time to hear of it.
-	fleetBound = 3
+	// maxLateAttempts is the number of attempts allowed after three servers have failed and
+	// every router has had time to learn of it.
+	maxLateAttempts = 3
 )
 
-// fleet is several routers and the book, with messages on their way between them.
+// fleet simulates several routers and the ledger, with the messages in flight between them.
 type fleet struct {
-	t       *rapid.T
-	now     int
-	book    quarantine.Book
-	routers []*fleetRouter
-	orders  []sentOrder
-	starts  int
-	// ends are the steps at which servers ended under each request, as seen by routers that
-	// reach the book; late counts its attempts beyond the third end and fleetContact, by
-	// routers that ran and reached the book meanwhile.
-	ends map[string][]int
-	late map[string]int
-	// refused counts answers that a harmless request is quarantined.
+	t        *rapid.T
+	now      int
+	ledger   quarantine.Book
+	routers  []*fleetRouter
+	pending  []pendingCommand
+	failures int
+	// failureSteps holds the steps at which servers failed under each request, as seen by
+	// routers that reach the ledger. lateAttempts counts the attempts of a request later than
+	// fleetConvergence after its third failure, by routers that were running and connected
+	// to the ledger throughout.
+	failureSteps map[string][]int
+	lateAttempts map[string]int
+	// refused counts harmless requests that were refused as quarantined.
 	refused int
-	// chances counts servers that ended for another reason while a harmless request was
-	// tried there.
-	chances int
+	// coincidences counts servers that failed for another reason during the trial of a
+	// harmless request.
+	coincidences int
 }
 
 type fleetRouter struct {
-	view  quarantine.View
-	since int
-	// cut is until when it reaches no book and hears nothing; it counts as running from then.
-	cut int
-	// news is when it hears of the book next; 0 for not asked.
-	news     int
-	revision uint64
-	entries  []quarantine.Entry
+	view         quarantine.View
+	runningSince int
+	// partitionedUntil is the end of a partition from the ledger; the router counts as
+	// running from then on.
+	partitionedUntil int
+	// updateDue is when the next update from the ledger arrives; 0 if none is in flight.
+	updateDue int
+	revision  uint64
+	entries   []quarantine.Entry
 }
 
-type sentOrder struct {
-	at    int
-	from  *fleetRouter
-	order quarantine.Order
+type pendingCommand struct {
+	dueAt   int
+	from    *fleetRouter
+	command quarantine.Order
 }
 
-// present has a client ask a router. A server that runs a marked request ends; lost says
-// how many of the servers end just then for another reason.
-func (f *fleet) present(router *fleetRouter, name string, marked bool, lost int) {
+// sendRequest sends a client's request to a router. Every server that runs a lethal request
+// fails; coincident is the number of servers that fail at that moment for another reason.
+func (f *fleet) sendRequest(router *fleetRouter, name string, lethal bool, coincident int) {
 	switch router.view.Standing(fingerprintOf(name)) {
 	case quarantine.Quarantined:
-		if !marked {
+		if !lethal {
 			f.refused++
 		}
 	case quarantine.Suspected:
-		if router.cut > f.now {
-			f.send(router, name, marked, min(lost, 1), true) // It tries without a grant.
+		if router.partitionedUntil > f.now {
+			f.runAttempts(router, name, lethal, min(coincident, 1), true) // A partitioned router tries without a grant.
 			return
 		}
-		// A trial is asked for by a call, so that its grant comes at once or never.
-		granted := f.book.Apply(order(quarantine.Try, name)).Granted
-		if granted && rapid.IntRange(0, 9).Draw(f.t, "grant is heard") > 0 {
-			f.send(router, name, marked, min(lost, 1), true)
+		// A trial is requested by a synchronous call: its grant arrives at once or never.
+		granted := f.ledger.Apply(command(quarantine.Try, name)).Granted
+		if granted && rapid.IntRange(0, 9).Draw(f.t, "grant arrives") > 0 {
+			f.runAttempts(router, name, lethal, min(coincident, 1), true)
 		}
 	case quarantine.Unknown:
-		f.send(router, name, marked, lost, false)
+		f.runAttempts(router, name, lethal, coincident, false)
 	}
 }
 
-func (f *fleet) send(router *fleetRouter, name string, marked bool, lost int, tried bool) {
+func (f *fleet) runAttempts(router *fleetRouter, name string, lethal bool, coincident int, trial bool) {
 	servers := fleetShards
-	if tried {
+	if trial {
 		servers = 1
 	}
 	for range servers {
-		if marked {
+		if lethal {
 			f.countAttempt(router, name)
 		}
-		ends := marked || lost > 0
-		lost--
+		fails := lethal || coincident > 0
+		coincident--
 		switch {
-		case ends:
-			f.starts++
-			if router.cut <= f.now {
-				f.ends[name] = append(f.ends[name], f.now)
+		case fails:
+			f.failures++
+			if router.partitionedUntil <= f.now {
+				f.failureSteps[name] = append(f.failureSteps[name], f.now)
 			}
-			router.view.Reported(fingerprintOf(name), tried)
-			f.tell(router, report(name, tried, fmt.Sprint("i-", f.starts)))
-			if tried && !marked {
-				f.chances++
+			router.view.Reported(fingerprintOf(name), trial)
+			f.enqueue(router, reportCommand(name, trial, fmt.Sprint("i-", f.failures)))
+			if trial && !lethal {
+				f.coincidences++
 			}
-		case tried:
-			f.tell(router, order(quarantine.Clear, name))
+		case trial:
+			f.enqueue(router, command(quarantine.Clear, name))
 		}
 	}
 }
 
 func (f *fleet) countAttempt(router *fleetRouter, name string) {
-	ended := f.ends[name]
-	if len(ended) >= 3 && f.now > ended[2]+fleetContact && f.now > router.since+fleetContact {
-		f.late[name]++
+	failureSteps := f.failureSteps[name]
+	if len(failureSteps) >= 3 && f.now > failureSteps[2]+fleetConvergence && f.now > router.runningSince+fleetConvergence {
+		f.lateAttempts[name]++
 	}
 }
 
-func (f *fleet) tell(from *fleetRouter, told quarantine.Order) {
-	f.orders = append(f.orders, sentOrder{at: max(f.now, from.cut) + rapid.IntRange(0, fleetOrders).Draw(f.t, "way of an order"), from: from, order: told})
+func (f *fleet) enqueue(from *fleetRouter, command quarantine.Order) {
+	f.pending = append(f.pending, pendingCommand{dueAt: max(f.now, from.partitionedUntil) + rapid.IntRange(0, maxCommandDelay).Draw(f.t, "command delay"), from: from, command: command})
 }
 
-// step lets orders and news that are due come in.
+// step advances time and delivers the commands and updates that are due.
 func (f *fleet) step() {
 	f.now++
-	var underway []sentOrder
-	for _, sent := range f.orders {
-		if sent.at > f.now {
-			underway = append(underway, sent)
+	var remaining []pendingCommand
+	for _, sent := range f.pending {
+		if sent.dueAt > f.now {
+			remaining = append(remaining, sent)
 			continue
 		}
-		f.book.Apply(sent.order)
-		if sent.order.Kind == quarantine.Report {
-			sent.from.view.Acknowledged(sent.order.Fingerprint, f.book.Revision)
+		f.ledger.Apply(sent.command)
+		if sent.command.Kind == quarantine.Report {
+			sent.from.view.Acknowledged(sent.command.Fingerprint, f.ledger.Revision)
 		}
 	}
-	f.orders = underway
+	f.pending = remaining
 	for _, router := range f.routers {
-		if router.cut > f.now {
+		if router.partitionedUntil > f.now {
 			continue
 		}
-		if router.news > 0 && router.news <= f.now {
+		if router.updateDue > 0 && router.updateDue <= f.now {
 			router.view.Take(router.revision, router.entries)
-			router.news = 0
+			router.updateDue = 0
 		}
-		if router.news == 0 && f.book.Revision > router.view.Revision() {
-			router.news = f.now + rapid.IntRange(1, fleetNews).Draw(f.t, "way of news")
-			router.revision, router.entries = f.book.Revision, f.book.Entries()
+		if router.updateDue == 0 && f.ledger.Revision > router.view.Revision() {
+			router.updateDue = f.now + rapid.IntRange(1, maxUpdateDelay).Draw(f.t, "update delay")
+			router.revision, router.entries = f.ledger.Revision, f.ledger.Entries()
 		}
 	}
 }
 
-// TestFleetStopsRequestsThatEndTheirServers has requests that end their servers come again
-// and again at any router, among harmless ones, while servers are lost for other reasons,
-// routers start anew or are cut off, and grants are lost. What a router that is cut off sees
-// binds the others only once it reaches the book again.
+// TestFleetStopsRequestsThatEndTheirServers sends requests that crash their servers repeatedly
+// to random routers, among harmless ones, while servers fail for other reasons, routers restart
+// or are partitioned, and grants are lost. What a partitioned router observes affects the others
+// only once it reaches the ledger again.
 func TestFleetStopsRequestsThatEndTheirServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &fleet{t: t, ends: map[string][]int{}, late: map[string]int{}}
+		f := &fleet{t: t, failureSteps: map[string][]int{}, lateAttempts: map[string]int{}}
 		for range rapid.IntRange(1, 5).Draw(t, "routers") {
-			f.routers = append(f.routers, &fleetRouter{since: -fleetContact})
+			f.routers = append(f.routers, &fleetRouter{runningSince: -fleetConvergence})
 		}
 		for range rapid.IntRange(20, 150).Draw(t, "steps") {
 			router := f.routers[rapid.IntRange(0, len(f.routers)-1).Draw(t, "router")]
 			name := fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "request"))
 			switch rapid.IntRange(0, 10).Draw(t, "event") {
 			case 0, 1, 2, 3:
-				f.present(router, "marked-"+name, true, 0)
+				f.sendRequest(router, "marked-"+name, true, 0)
 			case 4:
-				f.present(router, "harmless-"+name, false, 0)
+				f.sendRequest(router, "harmless-"+name, false, 0)
 			case 5:
-				f.present(router, "harmless-"+name, false, fleetShards)
+				f.sendRequest(router, "harmless-"+name, false, fleetShards)
 			case 6:
-				// Several callers send the same at one moment.
+				// Several callers send the same request at the same time.
 				for _, each := range f.routers {
-					f.present(each, "marked-"+name, true, 0)
+					f.sendRequest(each, "marked-"+name, true, 0)
 				}
 			case 7:
-				*router = fleetRouter{since: f.now}
+				*router = fleetRouter{runningSince: f.now}
 			case 8:
-				router.cut = f.now + rapid.IntRange(1, 3*fleetContact).Draw(t, "cut")
-				router.since, router.news = router.cut, 0
+				router.partitionedUntil = f.now + rapid.IntRange(1, 3*fleetConvergence).Draw(t, "partition")
+				router.runningSince, router.updateDue = router.partitionedUntil, 0
 			case 9:
-				for range 2 * fleetContact {
+				for range 2 * fleetConvergence {
 					f.step()
 				}
 			default:
 				f.step()
 			}
 		}
-		for name, late := range f.late {
-			require.LessOrEqual(t, late, fleetBound, name)
+		for name, late := range f.lateAttempts {
+			require.LessOrEqual(t, late, maxLateAttempts, name)
 		}
-		if f.chances == 0 {
+		if f.coincidences == 0 {
 			require.Zero(t, f.refused, "harmless requests refused")
 		}
 	})
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -2,46 +2,47 @@
 
 import "maps"
 
-// View is what one router knows of a book, and of what it has told the book itself. The
-// zero value knows nothing. It is not safe for concurrent use.
+// View is one router's copy of the published ledger, together with the router's own reports.
+// The zero value is empty. It is not safe for concurrent use.
 type View struct {
-	revision uint64
-	told     map[Fingerprint]Standing
-	// own are standings that follow from this router's own reports, until a revision that
-	// holds them is told: a caller often asks again before that.
-	own map[Fingerprint]ownStanding
+	revision  uint64
+	published map[Fingerprint]Standing
+	// local holds statuses that follow from this router's own reports until a published
+	// revision includes them, since callers often retry a request before that.
+	local map[Fingerprint]localStatus
 }
 
-// ownStanding is a standing by own reports of servers that ended. Until is the revision from
-// which on the told one counts; 0 while the last report is not acknowledged.
-type ownStanding struct {
-	standing  Standing
-	trialEnds int
-	until     uint64
+// localStatus is a status derived from this router's own reports of terminated servers. It
+// is superseded by revision publishedBy of the ledger, which is 0 until the last report is
+// acknowledged.
+type localStatus struct {
+	status        Standing
+	trialFailures int
+	publishedBy   uint64
 }
 
 // Empty reports whether all requests are unknown.
-func (v *View) Empty() bool { return len(v.told)+len(v.own) == 0 }
+func (v *View) Empty() bool { return len(v.published)+len(v.local) == 0 }
 
-// Standing returns how a request is to be treated.
+// Standing returns the status of a request.
 func (v *View) Standing(fingerprint Fingerprint) Standing {
-	return max(v.told[fingerprint], v.own[fingerprint].standing)
+	return max(v.published[fingerprint], v.local[fingerprint].status)
 }
 
-// Pending reports whether this router has reported a request and no book is known to hold
-// that yet, so that a book in which it is unknown tells nothing.
+// Pending reports whether this router's report of a request is not acknowledged yet. Until
+// then, the absence of the request from a published ledger means nothing.
 func (v *View) Pending(fingerprint Fingerprint) bool {
-	own, known := v.own[fingerprint]
-	return known && own.until == 0
+	local, known := v.local[fingerprint]
+	return known && local.publishedBy == 0
 }
 
-// Revision returns that of the book that was told last.
+// Revision returns the revision of the last published ledger.
 func (v *View) Revision() uint64 { return v.revision }
 
-// Counts returns how many requests are suspected, and how many quarantined.
+// Counts returns the number of suspected and of quarantined requests.
 func (v *View) Counts() (suspected, quarantined int) {
-	for _, standing := range v.told {
-		if standing == Quarantined {
+	for _, status := range v.published {
+		if status == Quarantined {
 			quarantined++
 		} else {
 			suspected++
@@ -50,60 +51,62 @@
 	return suspected, quarantined
 }
 
-// Take takes in the entries of a book of a revision, and returns the requests that are
-// quarantined and were not before. An older revision changes nothing.
+// Take replaces the published entries by those of a newer revision and returns the requests
+// that are newly quarantined. A revision that is not newer is ignored.
 func (v *View) Take(revision uint64, entries []Entry) (quarantined []Fingerprint) {
 	if revision <= v.revision {
 		return nil
 	}
-	told := make(map[Fingerprint]Standing, len(entries))
+	published := make(map[Fingerprint]Standing, len(entries))
 	for _, entry := range entries {
-		told[entry.Fingerprint] = Suspected
+		published[entry.Fingerprint] = Suspected
 		if entry.Quarantined {
-			told[entry.Fingerprint] = Quarantined
+			published[entry.Fingerprint] = Quarantined
 			if v.Standing(entry.Fingerprint) != Quarantined {
 				quarantined = append(quarantined, entry.Fingerprint)
 			}
 		}
 	}
-	v.revision, v.told = revision, told
-	maps.DeleteFunc(v.own, func(_ Fingerprint, own ownStanding) bool { return own.until > 0 && own.until <= revision })
+	v.revision, v.published = revision, published
+	maps.DeleteFunc(v.local, func(_ Fingerprint, local localStatus) bool {
+		return local.publishedBy > 0 && local.publishedBy <= revision
+	})
 	return quarantined
 }
 
-// Reported takes in that this router reports a server that ended under a request, or that
-// ended in its trial. By its own reports alone a router quarantines a request as a book would,
-// so that one that reaches no book stops as well.
-func (v *View) Reported(fingerprint Fingerprint, tried bool) {
-	if v.own == nil {
-		v.own = make(map[Fingerprint]ownStanding)
+// Reported records that this router reports a server that terminated while it ran a request,
+// in a trial or not. The router quarantines a request on its own reports by the same rule as
+// the ledger, so that it stops sending the request even if it can't reach the control group.
+func (v *View) Reported(fingerprint Fingerprint, trial bool) {
+	if v.local == nil {
+		v.local = make(map[Fingerprint]localStatus)
 	}
-	own, known := v.own[fingerprint]
-	if !known && len(v.own) >= MaxRecords {
+	local, known := v.local[fingerprint]
+	if !known && len(v.local) >= MaxRecords {
 		return
 	}
-	own.until = 0
-	own.standing = max(own.standing, Suspected)
-	if tried {
-		own.trialEnds++
+	local.publishedBy = 0
+	local.status = max(local.status, Suspected)
+	if trial {
+		local.trialFailures++
 	}
-	if own.trialEnds >= trialsThatEnd {
-		own.standing = Quarantined
+	if local.trialFailures >= trialFailuresToQuarantine {
+		local.status = Quarantined
 	}
-	v.own[fingerprint] = own
+	v.local[fingerprint] = local
 }
 
-// Acknowledged takes in that a book of a revision holds what this router reported, or that
-// it was dropped, with revision 0.
+// Acknowledged records the revision of the ledger that includes this router's report of a
+// request. Revision 0 means that the report was dropped.
 func (v *View) Acknowledged(fingerprint Fingerprint, revision uint64) {
-	own, known := v.own[fingerprint]
+	local, known := v.local[fingerprint]
 	if !known {
 		return
 	}
 	if revision <= v.revision {
-		delete(v.own, fingerprint)
+		delete(v.local, fingerprint)
 		return
 	}
-	own.until = revision
-	v.own[fingerprint] = own
+	local.publishedBy = revision
+	v.local[fingerprint] = local
 }
