--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -7,35 +7,34 @@
 	"github.com/martenstage/martenstage/internal/backendapi"
 )
 
-// Outcome is how an attempt ended, as far as it says something about the
-// server.
+// Outcome classifies the end of an attempt by what it shows about the server.
 type Outcome uint8
 
 // Outcomes.
 const (
-	// Answered with a valid part.
+	// Answered: the server returned a valid part.
 	Answered Outcome = iota + 1
-	// Refused without running, or cancelled by the router.
+	// Refused: the server did not run the attempt, or the router cancelled it.
 	Refused
-	// Overloaded refused for its load, or did not answer in time.
+	// Overloaded: the server refused because of load, or did not answer in time.
 	Overloaded
-	// Failed by error, lost connection or a false reply.
+	// Failed: an error, a lost connection or an invalid reply.
 	Failed
 )
 
-// typicalWeight is the weight of one answer in Group.Typical.
-const typicalWeight = 0.05
+// averageWeight is the weight of one answer in Group.Typical.
+const averageWeight = 0.05
 
-// Begin counts an attempt as in flight.
+// Begin records the start of an attempt.
 func (p *Pool) Begin(server *Server) { server.inFlight++ }
 
-// Result is the end of one attempt.
+// Result is the result of one attempt.
 type Result struct {
 	Outcome Outcome
 	Elapsed time.Duration
 }
 
-// Finish takes in the end of an attempt that was begun.
+// Finish records the end of an attempt that Begin recorded.
 func (p *Pool) Finish(now time.Time, group *Group, server *Server, result Result) {
 	full := server.inFlight >= server.limit.Value()
 	server.inFlight--
@@ -43,41 +42,40 @@
 	case Answered:
 		p.observeLatency(now, group, server, result.Elapsed)
 		if server.load.congested() {
-			// The queue may be of others' making.
+			// Other routers may have caused the queue, so this router keeps its share.
 			server.limit.LowerTo(now, admission.Floor(server.slots))
 		} else if full {
 			server.limit.Raise()
 		}
-		p.succeed(now, server)
+		p.recordSuccess(now, server)
 	case Overloaded:
 		server.limit.Lower(now)
 	case Failed:
-		p.fail(now, server)
+		p.recordFailure(now, server)
 	case Refused:
 	}
 	p.forgetUnused(server)
 }
 
 func (p *Pool) observeLatency(now time.Time, group *Group, server *Server, elapsed time.Duration) {
-	group.learn(now, server, elapsed)
+	group.observeAnswer(now, server, elapsed)
 	if !server.suspect {
 		server.latency.Observe(now, elapsed)
-		if float64(elapsed) > group.typical && group.lagsBehind(server) {
-			p.suspectFor(now, server, elapsed)
+		if float64(elapsed) > group.typical && group.muchSlowerThanFastest(server) {
+			p.markSuspect(now, server, elapsed)
 		}
 		return
 	}
-	// What was learnt before the server became suspect, or while it was, says
-	// nothing about it now.
+	// Latencies from before or during the suspicion don't describe the server now.
 	server.latency.Reset(now, elapsed)
 	server.setSuspect(float64(elapsed) > slowFactor*group.typical)
-	server.avoid(now)
+	server.resetProbeWait(now)
 }
 
-// learn takes the latency of an answered attempt into what is known about the
-// group. A suspect server says nothing about what a hedge would find, unless
-// there is no better one.
-func (g *Group) learn(now time.Time, server *Server, elapsed time.Duration) {
+// observeAnswer adds the latency of an answered attempt to the group's statistics.
+// Suspect servers are left out, since a hedge would go to another server, unless all
+// are suspect.
+func (g *Group) observeAnswer(now time.Time, server *Server, elapsed time.Duration) {
 	if server.suspect && g.suspects < len(g.members) {
 		return
 	}
@@ -85,7 +83,7 @@
 	if g.typical == 0 {
 		g.typical = float64(elapsed)
 	}
-	g.typical += typicalWeight * (float64(elapsed) - g.typical)
+	g.typical += averageWeight * (float64(elapsed) - g.typical)
 }
 
 func (g *Group) observe(now time.Time, elapsed time.Duration) {
@@ -93,9 +91,9 @@
 	g.generation.Latency.Observe(now, elapsed)
 }
 
-// lagsBehind reports whether the average latency of a server is far above that
-// of the fastest other server of the group.
-func (g *Group) lagsBehind(server *Server) bool {
+// muchSlowerThanFastest reports whether the average latency of a server exceeds slowFactor
+// times that of the fastest other server of the group.
+func (g *Group) muchSlowerThanFastest(server *Server) bool {
 	fastest := time.Duration(0)
 	for _, member := range g.members {
 		average := member.server.latency.Value()
@@ -106,30 +104,30 @@
 	return fastest > 0 && server.latency.Value() > slowFactor*fastest
 }
 
-// slowFactor is how many times the group's typical latency, or the average of
-// its fastest server, makes a server suspect.
+// slowFactor is the multiple of the group's typical latency, or of the average
+// latency of its fastest server, beyond which a server becomes suspect.
 const slowFactor = 3
 
-func (p *Pool) suspectFor(now time.Time, server *Server, elapsed time.Duration) {
+func (p *Pool) markSuspect(now time.Time, server *Server, elapsed time.Duration) {
 	server.latency.Reset(now, elapsed)
 	server.setSuspect(true)
-	server.avoid(now)
+	server.resetProbeWait(now)
 }
 
-// ObserveSlow takes in that an attempt has been out for some time: the server
-// takes at least as long. A server that takes much longer than its group does
-// is suspect, and gets one attempt at a time until it answers one.
+// ObserveSlow records the age of an attempt that is still in flight, a lower bound
+// of the server's latency. A server that takes much longer than its group becomes
+// suspect and gets one attempt at a time until it answers one.
 func (p *Pool) ObserveSlow(now time.Time, group *Group, server *Server, age time.Duration) {
 	if age <= server.latency.Value() || group.typical == 0 {
 		return
 	}
 	if float64(age) > slowFactor*group.typical {
-		p.suspectFor(now, server, age)
+		p.markSuspect(now, server, age)
 	}
 }
 
-// ObserveCancel takes in that an attempt was cancelled at an age. An age below
-// the typical latency says nothing about the server.
+// ObserveCancel records that an attempt was cancelled at an age. An age up to the
+// typical latency is ignored, since it says nothing about the server.
 func (p *Pool) ObserveCancel(now time.Time, group *Group, server *Server, age time.Duration) {
 	if float64(age) <= group.typical {
 		return
@@ -140,7 +138,7 @@
 	p.ObserveSlow(now, group, server, age)
 }
 
-// ObserveLoad takes in the load that a reply reported.
+// ObserveLoad records the load that a reply reported.
 func (p *Pool) ObserveLoad(now time.Time, server *Server, load backendapi.Load) {
 	server.load.observe(now, load, server.inFlight)
 }
--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// Need says what a replica is chosen for.
+// Need holds the requirements of an attempt on the replica to be chosen.
 type Need struct {
 	Version uint64
-	// Tried are servers that the shard was sent to already.
+	// Tried are the servers that this shard's request has already been sent to.
 	Tried []*Server
-	// Spare asks for a server with a free slot, for attempts that must not add
+	// Spare requires a server with a free slot, for attempts that must not add
 	// to a queue.
 	Spare bool
-	// Hedged says that a hedge will follow if the server is slow, so that the
-	// attempt may try a suspect one.
+	// Hedged is set if a hedge will follow when the server is slow, so that the
+	// attempt may probe a suspect server.
 	Hedged bool
-	// Waiting is the number of attempts that wait for a place in the group.
+	// Waiting is the number of attempts that wait for a free replica of the group.
 	Waiting int
 }
 
-// Availability says why Choose returned no server.
+// Availability is the reason why Choose returned no server.
 type Availability uint8
 
 // Availabilities.
 const (
-	// Available comes with a server.
+	// Available means that a server was chosen.
 	Available Availability = iota
-	// Busy means that all replicas that could serve are at their limit.
+	// Busy means that no replica of the version can take the attempt now, for
+	// example because all are at their limit.
 	Busy
 	// Unavailable means that no replica can serve the version.
 	Unavailable
 )
 
 // choices is the number of replicas that are compared. Two suffice to keep the
-// longest queue short, and avoid that all routers pick the same one
+// longest queue short, and prevent all routers from picking the same replica
 // (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing",
 // 2001).
 const choices = 2
@@ -52,11 +53,11 @@
 	if len(found) == 0 {
 		return nil, availability
 	}
-	group.passOver()
+	group.countPassedOver()
 	return p.cheapest(found), Available
 }
 
-// maxCandidates is the space for candidates that needs no allocation.
+// maxCandidates is the number of candidates that fit without an allocation.
 const maxCandidates = 24
 
 // candidate is a replica that may be chosen, with its expected cost.
@@ -66,20 +67,20 @@
 	tier   tier
 }
 
-// tier orders candidates by how well they are: a worse one is chosen only
-// where no better one can serve the version at all.
+// tier ranks candidates by health. A candidate of a worse tier is chosen only if
+// none of a better tier can serve the version, or if it is faster than waiting.
 type tier uint8
 
 const (
 	tierGood tier = iota
-	// tierCold lost the draw of its cold start.
+	// tierCold is in its cold start and was not drawn for this choice.
 	tierCold
-	// tierSuspect answered much slower than its group does.
+	// tierSuspect answers much more slowly than its group.
 	tierSuspect
 	tierEjected
 )
 
-// candidates returns the replicas of the best tier that have room.
+// candidates returns the replicas of the best tier that have capacity.
 func (p *Pool) candidates(now time.Time, group *Group, need Need, into []candidate) ([]candidate, Availability) {
 	availability := Unavailable
 	busy := tierEjected + 1
@@ -90,12 +91,12 @@
 			slices.Contains(need.Tried, server) {
 			continue
 		}
-		if !server.presence.fresh(now, p.config) {
+		if !server.presence.upToDate(now, p.config) {
 			availability = Busy
 			continue
 		}
 		rank := p.tierOf(now, server)
-		if !server.hasRoom(need) {
+		if !server.hasCapacity(need) {
 			availability = Busy
 			busy = min(busy, rank)
 			continue
@@ -107,15 +108,15 @@
 			into = append(into, candidate{server: server, cost: p.cost(now, group, server), tier: rank})
 		}
 	}
-	if busy < best && best >= tierSuspect && !p.worthIt(group, need, into) {
+	if busy < best && best >= tierSuspect && !p.betterThanWaiting(group, need, into) {
 		return nil, Busy
 	}
 	return into, availability
 }
 
-// worthIt reports whether a slow or failing replica that is free is still
-// better than to wait for a good one.
-func (p *Pool) worthIt(group *Group, need Need, found []candidate) bool {
+// betterThanWaiting reports whether a free suspect replica is expected to answer sooner
+// than a good one that has to be waited for. An ejected replica never is.
+func (p *Pool) betterThanWaiting(group *Group, need Need, found []candidate) bool {
 	if len(found) == 0 || found[0].tier == tierEjected {
 		return false
 	}
@@ -129,14 +130,14 @@
 		return tierEjected
 	case server.suspect:
 		return tierSuspect
-	case !p.warm(now, server):
+	case !p.admitsColdStart(now, server):
 		return tierCold
 	default:
 		return tierGood
 	}
 }
 
-// cheapest compares two candidates picked at random.
+// cheapest returns the cheaper of two candidates picked at random.
 func (p *Pool) cheapest(found []candidate) *Server {
 	if len(found) == 1 {
 		return found[0].server
@@ -157,8 +158,8 @@
 	return found[first].server
 }
 
-// chooseProbe returns a suspect server whose time has come to be tried again.
-// The attempt is one that a hedge will rescue.
+// chooseProbe returns a suspect server that is due to be tried again, or nil. Only
+// first attempts that a hedge will back up are used as probes.
 func (p *Pool) chooseProbe(now time.Time, group *Group, need Need) *Server {
 	if !need.Hedged || len(need.Tried) > 0 || group.suspects == 0 {
 		return nil
@@ -166,23 +167,24 @@
 	for _, member := range group.members {
 		server := member.server
 		if server.suspect && p.probeDue(now, server) && server.inFlight == 0 && server.Usable() &&
-			server.presence.fresh(now, p.config) && !server.Ejected(now) && member.holds(need.Version) && server.limit.Value() > 0 {
-			server.avoid(now)
+			server.presence.upToDate(now, p.config) && !server.Ejected(now) && member.holds(need.Version) && server.limit.Value() > 0 {
+			server.resetProbeWait(now)
 			return server
 		}
 	}
 	return nil
 }
 
-// probeDue reports whether a suspect server was avoided for long enough.
+// probeDue reports whether a suspect server is due to be tried again.
 func (p *Pool) probeDue(now time.Time, server *Server) bool {
-	avoided := now.Sub(server.avoided)
-	return avoided >= p.config.ProbePatience ||
+	avoided := now.Sub(server.avoidedSince)
+	return avoided >= p.config.ProbeMaxWait ||
 		avoided >= p.config.ProbeInterval && server.passedOver >= p.config.ProbeAttempts
 }
 
-// passOver counts an attempt that went to another server of the group.
-func (g *Group) passOver() {
+// countPassedOver counts an attempt that was sent to another server, for each suspect
+// server of the group.
+func (g *Group) countPassedOver() {
 	if g.suspects == 0 {
 		return
 	}
@@ -193,8 +195,8 @@
 	}
 }
 
-// hasRoom reports whether the server may get one more attempt.
-func (s *Server) hasRoom(need Need) bool {
+// hasCapacity reports whether the server may be sent one more attempt.
+func (s *Server) hasCapacity(need Need) bool {
 	if need.Spare && !s.hasSpareSlot() {
 		return false
 	}
@@ -204,9 +206,9 @@
 	return s.inFlight < s.limit.Value()
 }
 
-// cost estimates how an attempt would fare at the server: its latency times
-// the work there, as Finagle's least-loaded balancer does. Own attempts in
-// flight stand for those of other routers as well, which are known late.
+// cost estimates the cost of an attempt at the server as its latency times the work
+// there, like Finagle's least-loaded balancer. The router's own attempts in flight
+// also serve as a proxy for those of other routers, which become known late.
 func (p *Pool) cost(now time.Time, group *Group, server *Server) float64 {
 	work := float64(server.inFlight+1) + server.load.estimate(now, p.config.LoadHalfLife)
 	cost := work * float64(server.latency.Value())
@@ -219,9 +221,9 @@
 	return cost
 }
 
-// warm draws whether a server in its cold start takes part in this choice: its
-// chance grows from none to certain over the ramp.
-func (p *Pool) warm(now time.Time, server *Server) bool {
+// admitsColdStart draws whether a server takes part in this choice. During a cold start
+// the probability rises linearly from 0 to 1.
+func (p *Pool) admitsColdStart(now time.Time, server *Server) bool {
 	if server.coldStart <= 0 {
 		return true
 	}
--- a/internal/balancer/group.go
+++ b/internal/balancer/group.go
@@ -13,25 +13,25 @@
 type Group struct {
 	Shard uint32
 	Name  string
-	// Latency is the distribution of the group's attempts, for hedge delays.
+	// Latency is the latency distribution of the group's attempts, for hedge delays.
 	Latency *latency.Histogram
 
 	generation *Generation
 	index      int
 	members    []*member
 	usable     int
-	// made is when the group was made, and awaited set until it is covered for
-	// the first time or has not been for the grace time.
-	made      time.Time
-	awaited   bool
-	uncovered bool
-	slots     int
-	suspects  int
-	typical   float64
-}
-
-// member is one replica: a server in a group, with the index versions that it
-// can serve.
+	// awaitingCoverage is set from createdAt until the group is covered for the first
+	// time or the grace time has passed.
+	createdAt        time.Time
+	awaitingCoverage bool
+	uncovered        bool
+	slots            int
+	suspects         int
+	typical          float64
+}
+
+// member is one replica of a group: a server and the index versions that it can
+// serve.
 type member struct {
 	server   *Server
 	group    *Group
@@ -65,16 +65,16 @@
 	}
 }
 
-// Usable returns the number of replicas that may be sent new work.
+// Usable returns the number of replicas that accept new work.
 func (g *Group) Usable() int { return g.usable }
 
 // Slots returns the number of slots of the usable replicas.
 func (g *Group) Slots() int { return g.slots }
 
-// Queued returns how many attempts wait at the replicas by their last reports,
-// of each at most as many as this router has there: a report is believed only
-// where own attempts meet what it tells of. Suspect replicas are left out,
-// since new work does not go there.
+// Queued returns the number of attempts that wait at the replicas by their last
+// load reports. Of each replica it counts at most as many as this router has in
+// flight there, so that a false report has no effect where the router sends
+// nothing. Suspect replicas are left out, since they get no new work.
 func (g *Group) Queued() int {
 	queued := 0
 	for _, member := range g.members {
@@ -92,10 +92,11 @@
 // Index returns the position of the group in its generation.
 func (g *Group) Index() int { return g.index }
 
-// Typical returns the average duration of an attempt that was answered.
+// Typical returns the moving average of the latency of answered attempts.
 func (g *Group) Typical() time.Duration { return time.Duration(g.typical) }
 
-// recount takes in a change of its members' presence, share or versions.
+// recount updates the group after a change of its members' presence, share or
+// versions.
 func (g *Group) recount() {
 	g.usable, g.slots = 0, 0
 	for _, member := range g.members {
@@ -104,42 +105,42 @@
 			g.slots += max(member.server.slots, 1)
 		}
 	}
-	g.generation.stale = true
+	g.generation.candidatesStale = true
 }
 
-// Candidate is an index version that part of a generation's shards can serve.
+// Candidate is an index version that some of a generation's shards can serve.
 type Candidate struct {
 	Version uint64
 	// Shards is the number of shards with a usable replica of the version.
 	Shards int
-	// Capacity is the share of a shard's usable slots that belong to holders
-	// of the version, at the shard where it is least of those with a holder.
+	// Capacity is the smallest fraction of a shard's usable slots that belong to
+	// holders of the version, over the shards with a holder.
 	Capacity float64
 }
 
-// Generation is one shard map of a service, as groups of servers.
+// Generation is one shard map of a service, with a group of servers for each shard.
 type Generation struct {
 	Service string
 	Number  uint32
 	Groups  []*Group
-	// Latency is the distribution of the attempts of all groups.
+	// Latency is the latency distribution of the attempts of all groups.
 	Latency *latency.Histogram
 
-	candidates []Candidate
-	stale      bool
+	candidates      []Candidate
+	candidatesStale bool
 }
 
 // Candidates returns the versions that any shard can serve, newest first. The
 // slice is valid until the next observation.
 func (g *Generation) Candidates() []Candidate {
-	if g.stale {
-		g.stale = false
-		g.candidates = g.count()
+	if g.candidatesStale {
+		g.candidatesStale = false
+		g.candidates = g.countCandidates()
 	}
 	return g.candidates
 }
 
-func (g *Generation) count() []Candidate {
+func (g *Generation) countCandidates() []Candidate {
 	counted := g.candidates[:0]
 	var versions []uint64
 	for _, group := range g.Groups {
@@ -158,7 +159,7 @@
 	return counted
 }
 
-// versions appends the distinct versions that usable replicas hold.
+// versions appends the distinct versions that usable replicas hold to into.
 func (g *Group) versions(into []uint64) []uint64 {
 	for _, member := range g.members {
 		if !member.server.Usable() {
@@ -173,7 +174,7 @@
 	return into
 }
 
-// capacityOf returns the share of the usable slots at holders of a version.
+// capacityOf returns the fraction of the usable slots at holders of a version.
 func (g *Group) capacityOf(version uint64) float64 {
 	held := 0
 	for _, member := range g.members {
@@ -184,22 +185,21 @@
 	return float64(held) / float64(max(g.slots, 1))
 }
 
-// AddGeneration makes the groups of one shard map. Servers are shared with the
-// groups that exist already. The caller releases the generation when it no
-// longer sends to it.
+// AddGeneration creates the groups of a shard map. Servers are shared with existing
+// groups. The caller must call Release when it no longer sends to the generation.
 func (p *Pool) AddGeneration(now time.Time, service plan.Service, shards plan.Generation) *Generation {
 	generation := &Generation{
-		Service: service.Name, Number: shards.Number, stale: true,
+		Service: service.Name, Number: shards.Number, candidatesStale: true,
 		Latency: latency.NewHistogram(p.config.LatencyHalfLife),
 	}
 	for index, shard := range shards.Shards {
 		group := &Group{
-			Shard: shard.ID, Name: shard.Name, generation: generation, index: index, made: now, awaited: true,
+			Shard: shard.ID, Name: shard.Name, generation: generation, index: index, createdAt: now, awaitingCoverage: true,
 			Latency: latency.NewHistogram(p.config.LatencyHalfLife),
 		}
 		for _, replica := range shard.Replicas {
 			server := p.ensure(replica.Address)
-			server.describe(replica, service.ColdStart)
+			server.applyConfig(replica, service.ColdStart)
 			joined := &member{server: server, group: group}
 			joined.versions = server.versionsOf(group)
 			server.members = append(server.members, joined)
@@ -209,14 +209,14 @@
 			}
 		}
 		group.recount()
-		group.awaited = group.usable == 0
+		group.awaitingCoverage = group.usable == 0
 		generation.Groups = append(generation.Groups, group)
 	}
 	return generation
 }
 
-// Inherit takes over the latencies of groups of the same shard and name, so
-// that a change of configuration does not forget them.
+// Inherit takes over the latency statistics of the previous generation, for groups
+// with the same position and name, so that a configuration change keeps them.
 func (g *Generation) Inherit(before *Generation) {
 	g.Latency = before.Latency
 	for index, group := range g.Groups {
@@ -227,8 +227,8 @@
 	}
 }
 
-// Release ends the use of a generation. Servers that no group refers to and
-// that have nothing in flight are forgotten.
+// Release removes a generation. Servers that belong to no group and have nothing in
+// flight are dropped.
 func (p *Pool) Release(generation *Generation) {
 	for _, group := range generation.Groups {
 		for _, member := range group.members {
--- a/internal/balancer/miss_test.go
+++ b/internal/balancer/miss_test.go
@@ -9,9 +9,9 @@
 	"github.com/martenstage/martenstage/internal/journal"
 )
 
-// TestAServerThatStopsAnsweringIsMissedOnce fails probes of servers that
-// answered before, that said they leave, and that never answered.
-func TestAServerThatStopsAnsweringIsMissedOnce(t *testing.T) {
+// TestAServerThatStopsAnsweringIsReportedOnce fails probes of a server that answered
+// before, one that announced its departure, and one that never answered.
+func TestAServerThatStopsAnsweringIsReportedOnce(t *testing.T) {
 	pool, _ := newPool(4) // replica 3 keeps the group covered
 	probe := func(replica int, answers bool, health backendapi.Health) {
 		pool.ObserveHealth(start, address(replica), answers, health)
@@ -28,7 +28,7 @@
 		probe(2, false, backendapi.Health{})
 	}
 	missed := pool.TakeTransitions()
-	require.Len(t, missed, 1, "one left as announced, and one may be starting")
+	require.Len(t, missed, 1, "one announced its departure, and one may still be starting")
 	require.Equal(t, journal.KindReplicaEjected, missed[0].Kind)
 	require.Equal(t, address(0), missed[0].Server.Address)
 	require.Equal(t, "seats/s0", missed[0].Service+"/"+missed[0].Shard)
--- a/internal/balancer/outlier.go
+++ b/internal/balancer/outlier.go
@@ -8,42 +8,42 @@
 )
 
 const (
-	// failuresToEject is the number of failures in a row that make an outlier.
+	// failuresToEject is the number of consecutive failures that eject a server.
 	failuresToEject = 3
-	// longestEjection bounds the growth of the ejection time.
-	longestEjection = time.Minute
-	// ejectionGrowth multiplies the time of each further ejection in a row.
+	// maxEjectionTime bounds the growth of the ejection time.
+	maxEjectionTime = time.Minute
+	// ejectionGrowth is the factor between the times of consecutive ejections.
 	ejectionGrowth = 2
 )
 
-// outlier is the record of a server's failures.
+// outlier is the state of outlier detection for a server.
 type outlier struct {
-	failures  int
-	ejections int
-	until     time.Time
-	out       bool
+	failures     int
+	ejections    int
+	ejectedUntil time.Time
+	ejected      bool
 }
 
-// fail counts a failure and ejects the server when there are too many, unless
-// that left a group with too few replicas.
-func (p *Pool) fail(now time.Time, server *Server) {
+// recordFailure counts a failure and ejects the server after too many, unless that
+// would leave a group with too few replicas.
+func (p *Pool) recordFailure(now time.Time, server *Server) {
 	server.outlier.failures++
 	if server.outlier.failures < failuresToEject || server.Ejected(now) || !p.mayEject(now, server) {
 		return
 	}
 	growth := math.Pow(ejectionGrowth, float64(server.outlier.ejections))
-	duration := min(time.Duration(float64(p.config.EjectionTime)*growth), longestEjection)
-	server.outlier.until = now.Add(duration)
+	duration := min(time.Duration(float64(p.config.EjectionTime)*growth), maxEjectionTime)
+	server.outlier.ejectedUntil = now.Add(duration)
 	server.outlier.failures = 0
 	server.outlier.ejections++
-	server.outlier.out = true
-	service, shard := server.place()
+	server.outlier.ejected = true
+	service, shard := server.serviceAndShard()
 	p.transitions = append(p.transitions, Transition{
 		Kind: journal.KindReplicaEjected, Server: server, Service: service, Shard: shard, Detail: "for " + duration.String(),
 	})
 }
 
-// mayEject reports whether every group of the server keeps its floor of usable
+// mayEject reports whether every group of the server would keep enough usable
 // replicas that are not ejected.
 func (p *Pool) mayEject(now time.Time, server *Server) bool {
 	for _, member := range server.members {
@@ -61,22 +61,24 @@
 	return true
 }
 
-// succeed counts a success. The first one after an ejection returns the server.
-func (p *Pool) succeed(now time.Time, server *Server) {
+// recordSuccess resets the failure count. The first success after an ejection has
+// expired ends it.
+func (p *Pool) recordSuccess(now time.Time, server *Server) {
 	server.outlier.failures = 0
-	if !server.outlier.out || server.Ejected(now) {
+	if !server.outlier.ejected || server.Ejected(now) {
 		return
 	}
-	server.outlier.out = false
+	server.outlier.ejected = false
 	server.outlier.ejections = 0
-	service, shard := server.place()
+	service, shard := server.serviceAndShard()
 	p.transitions = append(p.transitions, Transition{
 		Kind: journal.KindReplicaReturned, Server: server, Service: service, Shard: shard,
 	})
 }
 
-// place names the service and the shard of a server; empty where it has several.
-func (s *Server) place() (service, shard string) {
+// serviceAndShard returns the service and the shard of a server; each is empty if the
+// server has several.
+func (s *Server) serviceAndShard() (service, shard string) {
 	for index, member := range s.members {
 		group := member.group
 		if index == 0 {
--- a/internal/balancer/pool.go
+++ b/internal/balancer/pool.go
@@ -1,11 +1,10 @@
-// Package balancer chooses the replica for each attempt. It keeps what is
-// known about each back end (attempts in flight, latency, reported load,
-// versions held, whether it is leaving or failing) and picks by the power of
-// two choices among the replicas that may be used. See
+// Package balancer chooses the replica for each attempt. It tracks the state of each
+// back end (attempts in flight, latency, reported load, versions held, departure,
+// failures) and picks by the power of two choices among the usable replicas. See
 // docs/design/0002-query-engine.md.
 //
-// Everything in a Pool belongs to one goroutine. Given equal calls and an equal
-// random source it makes equal choices.
+// A Pool and everything in it is used by one goroutine. Its choices are
+// deterministic, given the calls and the random source.
 package balancer
 
 import (
@@ -17,30 +16,30 @@
 	"github.com/martenstage/martenstage/internal/journal"
 )
 
-// Selection is the rule by which a replica is chosen.
+// Selection is the algorithm that chooses a replica.
 type Selection uint8
 
 // Selections.
 const (
 	// SelectLeastCost takes the cheaper of two random replicas.
 	SelectLeastCost Selection = iota
-	// SelectRandom takes any usable replica and ignores concurrency limits; it
-	// is the baseline of experiments.
+	// SelectRandom takes any usable replica and ignores concurrency limits, as a
+	// baseline for experiments.
 	SelectRandom
 )
 
 // Defaults of Config.
 const (
-	DefaultProbeInterval = time.Second
-	DefaultProbePatience = 30 * time.Second
-	DefaultProbeAttempts = 100
-	DefaultZonePenalty   = 1.25
-	DefaultLoadHalfLife  = time.Second
-	DefaultWordHold      = 5 * time.Second
-	DefaultDrainDistrust = 5 * time.Minute
-	DefaultEjectionTime  = 2 * time.Second
-	DefaultEjectionFloor = 0.5
-	DefaultCoverGrace    = 5 * time.Second
+	DefaultProbeInterval      = time.Second
+	DefaultProbeMaxWait       = 30 * time.Second
+	DefaultProbeAttempts      = 100
+	DefaultZonePenalty        = 1.25
+	DefaultLoadHalfLife       = time.Second
+	DefaultExternalReportHold = 5 * time.Second
+	DefaultDrainDistrust      = 5 * time.Minute
+	DefaultEjectionTime       = 2 * time.Second
+	DefaultEjectionFloor      = 0.5
+	DefaultCoverageGrace      = 5 * time.Second
 )
 
 // Config holds the tunables of a Pool. Zero values mean the defaults.
@@ -49,66 +48,65 @@
 	Zone      string
 	Random    *rand.Rand
 	Selection Selection
-	// LatencyHalfLife is that of the groups' histograms.
+	// LatencyHalfLife is the half-life of the groups' latency histograms.
 	LatencyHalfLife time.Duration
-	// A suspect server gets no work that others can do, until one attempt tries
-	// it again: after ProbeInterval if others got ProbeAttempts attempts
-	// meanwhile, so that trials stay a small share of the load, and after
-	// ProbePatience in any case.
+	// A suspect server gets no work that others can do until one attempt probes it
+	// again: after ProbeInterval if other servers got ProbeAttempts attempts
+	// meanwhile, so that probes stay a small fraction of the load, and after
+	// ProbeMaxWait in any case.
 	ProbeInterval time.Duration
-	ProbePatience time.Duration
+	ProbeMaxWait  time.Duration
 	ProbeAttempts int
 	// ZonePenalty multiplies the cost of servers in other zones.
 	ZonePenalty float64
-	// LoadHalfLife is the age at which a reported load counts half.
+	// LoadHalfLife is the half-life of a reported load.
 	LoadHalfLife time.Duration
-	// WordHold is how long the word of others that a machine leaves outweighs
-	// a later word that it lives: lists lag, and a new leader's list is empty
-	// until it was told.
-	WordHold time.Duration
-	// DrainDistrust is how long a health endpoint that says ready all along is
-	// not believed after the server itself refused work as draining.
+	// ExternalReportHold is how long an external report that a server is leaving overrides a
+	// later report that it is back: lists lag, and the list of a new leader is empty
+	// until it receives reports.
+	ExternalReportHold time.Duration
+	// DrainDistrust is how long a health endpoint that keeps reporting ready is not
+	// trusted after the server itself refused work as draining.
 	DrainDistrust time.Duration
-	// HealthLifetime is how long the last answer of a health endpoint, or a reply
-	// that says as much, stands. A
-	// server that was not heard of for longer gets no new work until it is, so
-	// that a router which did not run for a while does not act on what it knew
-	// before. 0 means for ever.
+	// HealthLifetime is how long the last answer of a health endpoint, or an
+	// equivalent reply, stays valid. A server without a newer observation gets no new
+	// work, so that a router that was paused does not act on outdated state. 0 means
+	// no limit.
 	HealthLifetime time.Duration
-	// EjectionTime is the time of a first ejection; each further one in a row
-	// lasts longer.
+	// EjectionTime is the duration of the first ejection; consecutive ones last
+	// longer.
 	EjectionTime time.Duration
-	// EjectionFloor is the share of a group's usable replicas that ejection
-	// leaves; at least one is always left.
+	// EjectionFloor is the fraction of a group's usable replicas that are never
+	// ejected; at least one never is.
 	EjectionFloor float64
-	// CoverGrace is how long the first usable replica of a new group is waited
-	// for before the group counts as uncovered.
-	CoverGrace time.Duration
+	// CoverageGrace is how long a new group may be without a usable replica before it
+	// counts as uncovered.
+	CoverageGrace time.Duration
 }
 
 func (c Config) withDefaults() Config {
 	c.ProbeInterval = cmp.Or(c.ProbeInterval, DefaultProbeInterval)
-	c.ProbePatience = cmp.Or(c.ProbePatience, DefaultProbePatience)
+	c.ProbeMaxWait = cmp.Or(c.ProbeMaxWait, DefaultProbeMaxWait)
 	c.ProbeAttempts = cmp.Or(c.ProbeAttempts, DefaultProbeAttempts)
 	c.ZonePenalty = cmp.Or(c.ZonePenalty, DefaultZonePenalty)
 	c.LoadHalfLife = cmp.Or(c.LoadHalfLife, DefaultLoadHalfLife)
-	c.WordHold = cmp.Or(c.WordHold, DefaultWordHold)
+	c.ExternalReportHold = cmp.Or(c.ExternalReportHold, DefaultExternalReportHold)
 	c.DrainDistrust = cmp.Or(c.DrainDistrust, DefaultDrainDistrust)
 	c.EjectionTime = cmp.Or(c.EjectionTime, DefaultEjectionTime)
 	c.EjectionFloor = cmp.Or(c.EjectionFloor, DefaultEjectionFloor)
-	c.CoverGrace = cmp.Or(c.CoverGrace, DefaultCoverGrace)
+	c.CoverageGrace = cmp.Or(c.CoverageGrace, DefaultCoverageGrace)
 	return c
 }
 
-// Transition is a change of a server or group that operators want to see.
+// Transition is a change of a server or group that is reported to operators.
 type Transition struct {
 	Kind    journal.Kind
 	Server  *Server
 	Service string
 	Shard   string
 	Detail  string
-	// Own is set when the change was seen by this engine itself and not told
-	// by others.
+	// Own is set if this engine observed the change itself, rather than learning of
+	// it from an external report.
 	Own bool
 }
 
@@ -116,18 +114,18 @@
 type Pool struct {
 	config  Config
 	servers map[netip.AddrPort]*Server
-	// away holds what is known of the departure of servers that no
-	// configuration names now, one small entry an address.
-	away        map[netip.AddrPort]presence
+	// departures holds the departure state of servers that no current configuration
+	// names, one small entry per address.
+	departures  map[netip.AddrPort]presence
 	transitions []Transition
 }
 
 // New returns an empty pool.
 func New(config Config) *Pool {
 	return &Pool{
-		config:  config.withDefaults(),
-		servers: make(map[netip.AddrPort]*Server),
-		away:    make(map[netip.AddrPort]presence),
+		config:     config.withDefaults(),
+		servers:    make(map[netip.AddrPort]*Server),
+		departures: make(map[netip.AddrPort]presence),
 	}
 }
 
@@ -137,19 +135,19 @@
 	return server, known
 }
 
-// TakeTransitions returns the changes since the last call. The slice is valid
-// until the next call of the pool.
+// TakeTransitions returns the transitions since the last call. The slice is valid
+// until the next call of a method of the pool.
 func (p *Pool) TakeTransitions() []Transition {
 	taken := p.transitions
 	p.transitions = p.transitions[:0]
 	return taken
 }
 
-// Share sets this router's part of a server's slots and connections. It is
-// kept for servers that are not configured yet.
+// Share sets this router's share of a server's slots and connections. The share is
+// kept even if the server is not configured yet.
 func (p *Pool) Share(address netip.AddrPort, slots, connections int) *Server {
 	server := p.ensure(address)
-	server.share(slots, connections)
+	server.setShare(slots, connections)
 	server.recountGroups()
 	return server
 }
@@ -157,23 +155,23 @@
 func (p *Pool) ensure(address netip.AddrPort) *Server {
 	server, known := p.servers[address]
 	if !known {
-		server = &Server{Address: address, presence: p.away[address]}
-		delete(p.away, address)
+		server = &Server{Address: address, presence: p.departures[address]}
+		delete(p.departures, address)
 		p.servers[address] = server
 	}
 	return server
 }
 
-// forgetUnused drops a server without groups. What is known about it would be
-// stale by the time that a later configuration names it again, but for its
-// departure: a later configuration may name it a moment later.
+// forgetUnused drops a server that has no groups and nothing in flight. Its state
+// would be stale by the time that a configuration names it again. Only its departure
+// is kept, since the next configuration may name it a moment later.
 func (p *Pool) forgetUnused(server *Server) {
 	if len(server.members) > 0 || server.inFlight > 0 {
 		return
 	}
 	delete(p.servers, server.Address)
 	if departure := server.presence.departure(); departure.leaving() {
-		p.away[server.Address] = departure
+		p.departures[server.Address] = departure
 	}
 }
 
--- a/internal/balancer/presence.go
+++ b/internal/balancer/presence.go
@@ -9,77 +9,80 @@
 	"github.com/martenstage/martenstage/internal/journal"
 )
 
-// unreachableAfter is the number of failed probes in a row after which a
-// server counts as gone.
+// unreachableAfter is the number of consecutive failed probes after which a
+// server counts as unreachable.
 const unreachableAfter = 2
 
-// neverReachedAfter is the number of failed probes in a row after which a server
-// that never answered is missed.
+// neverReachedAfter is the number of consecutive failed probes after which a server
+// that never answered counts as unreachable.
 const neverReachedAfter = 20
 
 // denialHold is how long a version that a server refused stays denied while
-// its health endpoint goes on listing it.
+// its health endpoint still lists it.
 const denialHold = 5 * time.Second
 
-// presence is what is known about whether a server takes new work. Each source
-// has its own mark, so that no source can take back the word of another:
-// whichever says first that the server leaves wins.
+// presence tracks whether a server accepts new work. Each source of information has
+// its own fields, so that no source can withdraw a departure that another reported:
+// the first report of a departure takes effect.
 type presence struct {
-	// probed is set once a probe succeeded, probedAt at the last one; nothing is
-	// sent before.
+	// probed is set once a probe succeeded; nothing is sent before. probedAt is the
+	// time of the last successful probe.
 	probed   bool
 	probedAt time.Time
-	// servedAt is when the newest query was sent whose reply says all that a
-	// probe says.
+	// servedAt is the send time of the newest query whose reply counts as a probe.
 	servedAt time.Time
-	// failedProbes counts failures in a row.
+	// failedProbes counts consecutive failures.
 	failedProbes int
-	// missed is set while operators were told that the server is unreachable.
-	missed bool
-	// health is the state that the health endpoint reported last.
+	// reportedUnreachable is set from when operators are notified that the server is
+	// unreachable until they are notified that it answers again.
+	reportedUnreachable bool
+	// health is the last state reported by the health endpoint.
 	health backendapi.ReadyState
-	// refused is set by the server's own refusal or reply header, at refusedAt.
+	// refused is set when the server itself signals draining, by a refusal or a reply
+	// header, at refusedAt.
 	refused   bool
 	refusedAt time.Time
-	// turned is set when the health endpoint, since refusedAt, has said
-	// something other than ready, or the server was unreachable. Its next ready is
-	// then a change of mind and not the same lie again.
-	turned bool
-	// left is set by the word of others, at leftAt; recalled when they took it
-	// back.
-	left     bool
-	leftAt   time.Time
-	recalled bool
-	// returnedAt is when the router itself last saw the server take work again
-	// after it did not.
+	// changedSinceRefusal is set once the health endpoint has reported something other
+	// than ready since refusedAt, or the server was unreachable. The next ready is then
+	// a real change, and not the same false report again.
+	changedSinceRefusal bool
+	// reportedLeaving is set by an external report of a departure, at
+	// reportedLeavingAt; reportWithdrawn is set once an external report says that the
+	// server is back.
+	reportedLeaving   bool
+	reportedLeavingAt time.Time
+	reportWithdrawn   bool
+	// returnedAt is when the router itself last observed that the server accepts work
+	// again.
 	returnedAt time.Time
-	// announced is set from when this engine itself saw the server leave, which
-	// others are told, until it saw it back.
+	// announced is set while a departure that this engine observed itself, and that is
+	// published to other routers, has not ended.
 	announced bool
 }
 
-func (p *presence) usable() bool { return p.seenReady() && !p.left }
+func (p *presence) usable() bool { return p.observedReady() && !p.reportedLeaving }
 
-// seenReady reports whether the server takes work by all that the router saw
-// itself.
-func (p *presence) seenReady() bool {
+// observedReady reports whether the server accepts work according to the router's own
+// observations.
+func (p *presence) observedReady() bool {
 	return p.probed && p.failedProbes < unreachableAfter && p.health == backendapi.StateReady && !p.refused
 }
 
-// mayBelieveReturn reports whether the word that a machine lives again is to be
-// taken. Lists lag, so the word may be older than the one that the machine
-// leaves: it counts after a hold, or once the server says so itself. That is worth
-// something where the router lately saw the server go and come back, so that its
-// endpoint is known to tell, and where the endpoint was asked since the word that
-// it leaves: a return before that word may be of an earlier departure.
-func (p *presence) mayBelieveReturn(now time.Time, hold time.Duration) bool {
-	tells := !p.returnedAt.IsZero() && now.Sub(p.returnedAt) < hold
-	saysReady := p.seenReady() && p.probedAt.After(p.leftAt)
-	return tells && saysReady || now.Sub(p.leftAt) >= hold
+// acceptsReturn reports whether an external report that a server is back is accepted.
+// Lists lag, so that report may be older than the report of the departure: it is
+// accepted after the hold time, or as soon as the server itself confirms it. The
+// confirmation counts if the router recently observed the server leave and return,
+// which shows that its endpoint reports such changes, and if the endpoint was probed
+// after the report of the departure: an earlier return may belong to an earlier departure.
+func (p *presence) acceptsReturn(now time.Time, hold time.Duration) bool {
+	returnObserved := !p.returnedAt.IsZero() && now.Sub(p.returnedAt) < hold
+	saysReady := p.observedReady() && p.probedAt.After(p.reportedLeavingAt)
+	return returnObserved && saysReady || now.Sub(p.reportedLeavingAt) >= hold
 }
 
-// fresh reports whether the last observation of the server still stands.
-func (p *presence) fresh(now time.Time, config Config) bool {
+// upToDate reports whether the last observation of the server is recent enough to act
+// on.
+func (p *presence) upToDate(now time.Time, config Config) bool {
 	observed := p.probedAt
 	if p.servedAt.After(observed) {
 		observed = p.servedAt
@@ -87,70 +90,68 @@
 	return config.HealthLifetime <= 0 || now.Sub(observed) <= config.HealthLifetime
 }
 
-// departure returns what is known of the departure alone.
+// departure returns only the fields that describe a departure.
 func (p *presence) departure() presence {
 	return presence{
-		refused: p.refused, refusedAt: p.refusedAt, turned: p.turned,
-		left: p.left, leftAt: p.leftAt, recalled: p.recalled, announced: p.announced,
+		refused: p.refused, refusedAt: p.refusedAt, changedSinceRefusal: p.changedSinceRefusal,
+		reportedLeaving: p.reportedLeaving, reportedLeavingAt: p.reportedLeavingAt, reportWithdrawn: p.reportWithdrawn, announced: p.announced,
 	}
 }
 
-// leaving reports whether the server is known to go, as opposed to not being
-// known, warm or reachable yet.
+// leaving reports whether the server is known to be leaving, as opposed to not yet
+// being known, warm or reachable.
 func (p *presence) leaving() bool {
-	return p.refused || p.left || p.health == backendapi.StateDraining
+	return p.refused || p.reportedLeaving || p.health == backendapi.StateDraining
 }
 
-// back reports whether the server, whose departure was announced, takes work
-// again by its own word.
-func (p *presence) back() bool {
+// returned reports whether a server whose departure was announced signals itself that
+// it accepts work again.
+func (p *presence) returned() bool {
 	return p.announced && !p.refused && p.failedProbes == 0 && p.health == backendapi.StateReady
 }
 
-// cause names the source that said that the server leaves.
+// cause describes the source that reported the departure.
 func (p *presence) cause() string {
 	switch {
 	case p.refused:
 		return "by its own reply"
-	case p.left:
+	case p.reportedLeaving:
 		return "by the word of others"
 	default:
 		return "by its health endpoint"
 	}
 }
 
-// ObserveHealth takes in one probe of a server. It returns nil for a server
-// that is not known.
+// ObserveHealth records the result of a probe. It returns nil for an unknown server.
 func (p *Pool) ObserveHealth(now time.Time, address netip.AddrPort, reachable bool, health backendapi.Health) *Server {
 	server, known := p.servers[address]
 	if !known {
 		return nil
 	}
-	p.change(now, server, func() {
+	p.update(now, server, func() {
 		if !reachable {
 			server.presence.failProbe()
-			server.presence.turned = server.presence.turned || server.presence.refused
+			server.presence.changedSinceRefusal = server.presence.changedSinceRefusal || server.presence.refused
 			return
 		}
 		server.presence.passProbe(now, health.State, p.config)
 		server.load.observe(now, health.Load, server.inFlight)
-		server.hold(now, health.Shards)
+		server.setHoldings(now, health.Shards)
 	})
 	return server
 }
 
-// ObserveSilence takes in a probe of which nothing was heard in time. One alone
-// is no news of the server, and must not make a departure end. It returns nil for
-// a server that is not known.
+// ObserveSilence records a probe that timed out. A single timeout says nothing about
+// the server and must not end a departure. It returns nil for an unknown server.
 func (p *Pool) ObserveSilence(now time.Time, address netip.AddrPort) *Server {
 	server, known := p.servers[address]
 	if !known {
 		return nil
 	}
-	p.change(now, server, func() {
+	p.update(now, server, func() {
 		presence := &server.presence
 		presence.failProbe()
-		presence.turned = presence.turned || (presence.refused && presence.failedProbes >= unreachableAfter)
+		presence.changedSinceRefusal = presence.changedSinceRefusal || (presence.refused && presence.failedProbes >= unreachableAfter)
 	})
 	return server
 }
@@ -160,18 +161,18 @@
 func (p *presence) passProbe(now time.Time, state backendapi.ReadyState, config Config) {
 	p.probed, p.probedAt, p.failedProbes, p.health = true, now, 0, state
 	if state != backendapi.StateReady {
-		p.turned = p.turned || p.refused
-	} else if p.refused && (p.turned || now.Sub(p.refusedAt) >= config.DrainDistrust) {
-		p.refused, p.turned = false, false
+		p.changedSinceRefusal = p.changedSinceRefusal || p.refused
+	} else if p.refused && (p.changedSinceRefusal || now.Sub(p.refusedAt) >= config.DrainDistrust) {
+		p.refused, p.changedSinceRefusal = false, false
 	}
-	if p.recalled && p.mayBelieveReturn(now, config.WordHold) {
-		p.left, p.recalled = false, false
+	if p.reportWithdrawn && p.acceptsReturn(now, config.ExternalReportHold) {
+		p.reportedLeaving, p.reportWithdrawn = false, false
 	}
 }
 
-// hold replaces the versions that the server holds. Members see the new list
-// without the versions that the server itself denied a short time ago.
-func (s *Server) hold(now time.Time, holdings []backendapi.ShardState) {
+// setHoldings replaces the versions that the server holds. Its members get the new list
+// without the versions that the server itself denied recently.
+func (s *Server) setHoldings(now time.Time, holdings []backendapi.ShardState) {
 	s.holdings = holdings
 	for _, member := range s.members {
 		versions := s.versionsOf(member.group)
@@ -179,7 +180,7 @@
 			versions = member.withoutDenied(now, versions)
 		}
 		if !slices.Equal(member.versions, versions) {
-			member.group.generation.stale = true
+			member.group.generation.candidatesStale = true
 		}
 		member.versions = versions
 	}
@@ -192,7 +193,7 @@
 	})
 }
 
-// Deny takes in that a server refused a version of a group as unknown.
+// Deny records that a server refused a version of a group as unknown.
 func (p *Pool) Deny(now time.Time, server *Server, group *Group, version uint64) {
 	for _, member := range group.members {
 		if member.server != server {
@@ -200,76 +201,76 @@
 		}
 		member.denials = append(member.denials, denial{version: version, until: now.Add(denialHold)})
 		member.versions = member.withoutDenied(now, member.versions)
-		group.generation.stale = true
+		group.generation.candidatesStale = true
 	}
 }
 
-// ObserveDrain takes in the server's own word, by a refusal or a reply header,
-// that it takes no more work.
+// ObserveDrain records that the server itself signalled, by a refusal or a reply
+// header, that it accepts no more work.
 func (p *Pool) ObserveDrain(now time.Time, server *Server) {
-	p.change(now, server, func() {
+	p.update(now, server, func() {
 		server.presence.refused = true
 		server.presence.refusedAt = now
-		// The endpoint's word before this moment says nothing about whether it
-		// lies: turned is earned by a later probe alone.
-		server.presence.turned = false
+		// What the endpoint reported before does not show whether it reports the
+		// drain: only a later probe may set changedSinceRefusal.
+		server.presence.changedSinceRefusal = false
 	})
 }
 
-// ObserveServing takes in that a query which was sent at a time was answered by
-// a server that takes work. The reply may have waited to be read, so it proves
-// no more than that moment.
+// ObserveServing records that a server that accepts work answered a query sent at the
+// given time. The reply may have been read late, so it proves nothing about any later
+// time.
 func (p *Pool) ObserveServing(server *Server, sent time.Time) {
 	if sent.After(server.presence.servedAt) {
 		server.presence.servedAt = sent
 	}
 }
 
-// ObserveWord takes in the word of the platform, an operator or another router
-// about a server. It returns nil for a server that is not known; the word is
-// kept for when it is.
+// ObserveWord records an external report about a server, from the platform, an operator
+// or another router. For an unknown server it returns nil and keeps the report until the
+// server is added.
 func (p *Pool) ObserveWord(now time.Time, address netip.AddrPort, leaving bool) *Server {
 	server, known := p.servers[address]
 	if !known {
-		departure := p.away[address]
-		departure.hear(now, leaving, p.config)
+		departure := p.departures[address]
+		departure.observeReport(now, leaving, p.config)
 		if departure.leaving() {
-			p.away[address] = departure
+			p.departures[address] = departure
 		} else {
-			delete(p.away, address)
+			delete(p.departures, address)
 		}
 		return nil
 	}
-	p.change(now, server, func() { server.presence.hear(now, leaving, p.config) })
+	p.update(now, server, func() { server.presence.observeReport(now, leaving, p.config) })
 	return server
 }
 
-// hear takes in the word of others.
-func (p *presence) hear(now time.Time, leaving bool, config Config) {
+// observeReport records an external report.
+func (p *presence) observeReport(now time.Time, leaving bool, config Config) {
 	if leaving {
-		p.left, p.leftAt, p.recalled = true, now, false
+		p.reportedLeaving, p.reportedLeavingAt, p.reportWithdrawn = true, now, false
 		return
 	}
-	p.recalled = p.left
-	if p.mayBelieveReturn(now, config.WordHold) {
-		p.left, p.recalled = false, false
+	p.reportWithdrawn = p.reportedLeaving
+	if p.acceptsReturn(now, config.ExternalReportHold) {
+		p.reportedLeaving, p.reportWithdrawn = false, false
 	}
 }
 
-// change applies an observation and takes in what follows from a change of the
-// server's usability.
-func (p *Pool) change(now time.Time, server *Server, apply func()) {
+// update applies an observation, and updates the transitions and groups that depend on
+// the server's usability.
+func (p *Pool) update(now time.Time, server *Server, apply func()) {
 	wasUsable, wasLeaving := server.Usable(), server.presence.leaving()
-	wasProbed, wasReady := server.presence.probed, server.presence.seenReady()
+	wasProbed, wasReady := server.presence.probed, server.presence.observedReady()
 	apply()
-	if wasProbed && !wasReady && server.presence.seenReady() {
+	if wasProbed && !wasReady && server.presence.observedReady() {
 		server.presence.returnedAt = now
 	}
-	p.announce(server, wasLeaving)
-	p.miss(server)
+	p.recordDeparture(server, wasLeaving)
+	p.recordReachability(server)
 	if server.Usable() == wasUsable {
 		for _, member := range server.members {
-			p.judgeCoverage(now, member.group)
+			p.updateCoverage(now, member.group)
 		}
 		return
 	}
@@ -281,17 +282,17 @@
 	}
 }
 
-// announce tells of a departure, and of the return from one that this engine saw
-// itself: what others were told of it must be taken back.
-func (p *Pool) announce(server *Server, wasLeaving bool) {
+// recordDeparture adds transitions for a departure and for the return from it. A departure
+// that this engine observed and published must be withdrawn by it as well.
+func (p *Pool) recordDeparture(server *Server, wasLeaving bool) {
 	presence := &server.presence
 	switch {
 	case presence.leaving() && !wasLeaving:
-		presence.announced = !presence.left
+		presence.announced = !presence.reportedLeaving
 		p.transitions = append(p.transitions, Transition{
 			Kind: journal.KindDrainBegun, Server: server, Own: presence.announced, Detail: presence.cause(),
 		})
-	case presence.back():
+	case presence.returned():
 		presence.announced = false
 		p.transitions = append(p.transitions, Transition{
 			Kind: journal.KindDrainDone, Server: server, Own: true, Detail: "by its own word",
@@ -303,26 +304,26 @@
 	}
 }
 
-// miss tells when a server stopped answering probes without having said that it
-// leaves, and when it answers again.
-func (p *Pool) miss(server *Server) {
+// recordReachability adds a transition when a server stops answering probes without having
+// announced its departure, and when it answers again.
+func (p *Pool) recordReachability(server *Server) {
 	presence := &server.presence
 	kind, detail := journal.KindReplicaEjected, "it does not answer"
 	switch {
-	case presence.failedProbes == 0 && presence.missed:
+	case presence.failedProbes == 0 && presence.reportedUnreachable:
 		kind, detail = journal.KindReplicaReturned, "it answers again"
-	case presence.missed || presence.leaving() || !presence.unreachable():
+	case presence.reportedUnreachable || presence.leaving() || !presence.unreachable():
 		return
 	}
-	presence.missed = !presence.missed
-	service, shard := server.place()
+	presence.reportedUnreachable = !presence.reportedUnreachable
+	service, shard := server.serviceAndShard()
 	p.transitions = append(p.transitions, Transition{
 		Kind: kind, Server: server, Service: service, Shard: shard, Detail: detail,
 	})
 }
 
-// unreachable reports whether enough probes failed to miss the server. One that
-// never answered may just be starting.
+// unreachable reports whether enough probes failed. A server that never answered gets
+// more of them, since it may still be starting.
 func (p *presence) unreachable() bool {
 	if p.probed {
 		return p.failedProbes >= unreachableAfter
@@ -330,25 +331,24 @@
 	return p.failedProbes >= neverReachedAfter
 }
 
-// recount updates a group and tells when it lost its last usable replica, or
-// got the first one back.
+// recount updates a group and its coverage after a change of a member's usability.
 func (p *Pool) recount(now time.Time, group *Group) {
 	group.recount()
 	if group.usable > 0 {
-		group.awaited = false
+		group.awaitingCoverage = false
 	}
-	p.judgeCoverage(now, group)
+	p.updateCoverage(now, group)
 }
 
-// judgeCoverage tells when a group became uncovered or covered again. A group
-// that was never covered is not missed until its servers have had the grace
-// time to answer their first probes.
-func (p *Pool) judgeCoverage(now time.Time, group *Group) {
+// updateCoverage adds a transition when a group becomes uncovered or covered again. A
+// group that was never covered counts as uncovered only after the grace time, which its
+// servers have to answer their first probes.
+func (p *Pool) updateCoverage(now time.Time, group *Group) {
 	uncovered := group.usable == 0
-	if uncovered == group.uncovered || (group.awaited && now.Sub(group.made) < p.config.CoverGrace) {
+	if uncovered == group.uncovered || (group.awaitingCoverage && now.Sub(group.createdAt) < p.config.CoverageGrace) {
 		return
 	}
-	group.uncovered, group.awaited = uncovered, false
+	group.uncovered, group.awaitingCoverage = uncovered, false
 	kind := journal.KindShardCovered
 	if uncovered {
 		kind = journal.KindShardUncovered
--- a/internal/balancer/presence_test.go
+++ b/internal/balancer/presence_test.go
@@ -44,14 +44,14 @@
 	return lo.Map(pool.TakeTransitions(), func(seen Transition, _ int) journal.Kind { return seen.Kind })
 }
 
-func TestANewGroupIsNotMissedBeforeItsFirstProbes(t *testing.T) {
+func TestANewGroupIsNotUncoveredBeforeItsFirstProbes(t *testing.T) {
 	pool, _ := newPool(2)
 	warming := backendapi.Health{State: backendapi.StateWarming}
 	pool.ObserveHealth(start.Add(time.Second), address(0), true, warming)
 	pool.ObserveHealth(start.Add(time.Second), address(1), false, backendapi.Health{})
 	require.Empty(t, kinds(pool))
 	pool.ObserveHealth(start.Add(2*time.Second), address(0), true, ready(1))
-	require.Empty(t, kinds(pool), "the first cover of a group that was not missed is no event")
+	require.Empty(t, kinds(pool), "no event for the first coverage of a group that never counted as uncovered")
 
 	pool.ObserveHealth(start.Add(3*time.Second), address(0), true, warming)
 	require.Equal(t, []journal.Kind{journal.KindShardUncovered}, kinds(pool))
@@ -59,18 +59,18 @@
 	require.Equal(t, []journal.Kind{journal.KindShardCovered}, kinds(pool))
 }
 
-func TestAGroupThatNoProbeEverReachedIsMissedAfterTheGraceTime(t *testing.T) {
+func TestAGroupThatNoProbeEverReachedIsUncoveredAfterTheGraceTime(t *testing.T) {
 	pool, _ := newPool(1)
-	pool.ObserveHealth(start.Add(DefaultCoverGrace-time.Millisecond), address(0), false, backendapi.Health{})
+	pool.ObserveHealth(start.Add(DefaultCoverageGrace-time.Millisecond), address(0), false, backendapi.Health{})
 	require.Empty(t, kinds(pool))
 	for range 3 {
-		pool.ObserveHealth(start.Add(DefaultCoverGrace), address(0), false, backendapi.Health{})
+		pool.ObserveHealth(start.Add(DefaultCoverageGrace), address(0), false, backendapi.Health{})
 	}
 	require.Equal(t, []journal.Kind{journal.KindShardUncovered}, kinds(pool), "once")
 }
 
-// One lost probe says nothing; two in a row say that the server was away, so
-// that its next word is a new one.
+// TestADrainIsNotEndedByOneLostProbe checks that one timed-out probe does not end a drain.
+// After two in a row the server counts as unreachable, so that its next ready is new.
 func TestADrainIsNotEndedByOneLostProbe(t *testing.T) {
 	pool, _ := newPool(1)
 	pool.ObserveHealth(start, address(0), true, ready(1))
@@ -79,7 +79,7 @@
 	for range 3 {
 		pool.ObserveSilence(start, address(0))
 		pool.ObserveHealth(start, address(0), true, ready(1))
-		require.False(t, left.Usable(), "a lost probe is no news")
+		require.False(t, left.Usable(), "one timed-out probe says nothing")
 	}
 	for range unreachableAfter {
 		pool.ObserveSilence(start, address(0))
@@ -87,14 +87,14 @@
 	pool.ObserveHealth(start, address(0), true, ready(1))
 	require.True(t, left.Usable())
 
-	// A connection that is refused or reset is news: the process went.
+	// A refused or reset connection shows that the process has stopped.
 	pool.ObserveDrain(start, left)
 	pool.ObserveHealth(start, address(0), false, backendapi.Health{})
 	pool.ObserveHealth(start, address(0), true, ready(1))
 	require.True(t, left.Usable())
 }
 
-func TestADrainIsNotEndedByAnEndpointThatLies(t *testing.T) {
+func TestADrainIsNotEndedByAnEndpointThatStaysReady(t *testing.T) {
 	pool, group := newPool(2)
 	for replica := range 2 {
 		pool.ObserveHealth(start, address(replica), true, ready(1))
@@ -128,7 +128,7 @@
 		}
 	}
 	ejected := lo.CountBy(servers, func(server *Server) bool { return server.Ejected(start) })
-	require.Equal(t, 1, ejected, "of three, at least half stay")
+	require.Equal(t, 1, ejected, "at least half of the three stay")
 }
 
 func TestASuspectServerIsAvoidedUntilOneAttemptShowsThatItRecovered(t *testing.T) {
@@ -153,17 +153,17 @@
 	later := start.Add(2 * DefaultProbeInterval)
 	for range DefaultProbeAttempts {
 		chosen, _ := pool.Choose(later, group, Need{Version: 1, Hedged: true})
-		require.NotSame(t, slow, chosen, "trials are a small share of the load")
+		require.NotSame(t, slow, chosen, "probes are a small fraction of the load")
 	}
 	chosen, _ := pool.Choose(later, group, Need{Version: 1, Hedged: true})
-	require.Same(t, slow, chosen, "one attempt, which a hedge would rescue")
+	require.Same(t, slow, chosen, "one attempt, backed up by a hedge")
 	pool.Begin(slow)
 	pool.Finish(later, group, slow, Result{Outcome: Answered, Elapsed: 50 * time.Millisecond})
 	require.True(t, slow.Suspect())
 
 	for range DefaultProbeAttempts {
 		chosen, _ = pool.Choose(later, group, Need{Version: 1, Hedged: true})
-		require.NotSame(t, slow, chosen, "no second trial at once, however much was sent")
+		require.NotSame(t, slow, chosen, "no second probe before the interval, whatever the load")
 	}
 	chosen, _ = pool.Choose(later.Add(DefaultProbeInterval), group, Need{Version: 1, Hedged: true})
 	require.Same(t, slow, chosen)
@@ -178,29 +178,30 @@
 		pool.ObserveHealth(start, address(replica), true, ready(1))
 	}
 	slow, _ := pool.Server(address(0))
-	pool.suspectFor(start, slow, time.Second)
+	pool.markSuspect(start, slow, time.Second)
 	need := Need{Version: 1, Hedged: true}
-	chosen, _ := pool.Choose(start.Add(DefaultProbePatience-1), group, need)
+	chosen, _ := pool.Choose(start.Add(DefaultProbeMaxWait-1), group, need)
 	require.NotSame(t, slow, chosen)
-	chosen, _ = pool.Choose(start.Add(DefaultProbePatience), group, need)
+	chosen, _ = pool.Choose(start.Add(DefaultProbeMaxWait), group, need)
 	require.Same(t, slow, chosen)
 }
 
-func TestAnOwnLoadAboveTheReportedOneIsBelievedMore(t *testing.T) {
-	var honest, lying reportedLoad
+func TestAnOwnLoadAboveTheReportedOneIsTrustedMore(t *testing.T) {
+	var honest, misleading reportedLoad
 	for range 20 {
 		honest.observe(start, backendapi.Load{InFlight: 2, Queued: 6}, 3)
-		lying.observe(start, backendapi.Load{}, 3)
+		misleading.observe(start, backendapi.Load{}, 3)
 	}
-	lying.observe(start, backendapi.Load{InFlight: 2, Queued: 6}, 3)
+	misleading.observe(start, backendapi.Load{InFlight: 2, Queued: 6}, 3)
 	require.True(t, honest.congested())
-	require.False(t, lying.congested(), "who misled before is not believed")
+	require.False(t, misleading.congested(), "a server with false reports is not trusted")
 	require.InDelta(t, 5, honest.estimate(start, time.Second), 1e-9)
 	require.InDelta(t, 2.5, honest.estimate(start.Add(time.Second), time.Second), 1e-9)
 }
 
-// seenBackBy returns a pool with a server that was seen to go and to be back at a time.
-func seenBackBy(back time.Time) (*Pool, *Server) {
+// poolWithReturnedServer returns a pool with a server that was observed to drain and to be
+// ready again at the given time.
+func poolWithReturnedServer(back time.Time) (*Pool, *Server) {
 	pool, _ := newPool(1)
 	pool.ObserveHealth(start, address(0), true, ready(1))
 	pool.ObserveHealth(start.Add(time.Second), address(0), true, backendapi.Health{State: backendapi.StateDraining})
@@ -209,50 +210,50 @@
 	return pool, server
 }
 
-// TestALateWordAboutARestartIsTakenBackAtTheNextProbe has a list show a restart late. The word
-// that the server lives again used to count at once, since its return had been seen, and so also
-// undid the word of a departure that came after that return: the kept seed of the engine's
-// promises. Now the server's own word since then is needed, which takes a probe and not the hold.
-func TestALateWordAboutARestartIsTakenBackAtTheNextProbe(t *testing.T) {
-	pool, server := seenBackBy(start.Add(2 * time.Second))
+// TestALateReportOfARestartIsWithdrawnAtTheNextProbe has an external list show a restart late.
+// Accepting the report of the return at once, because the return had been observed, also
+// cancelled a report of a departure after that return (a saved seed of the engine's property
+// test). The server itself must confirm it by a probe since then; the hold time need not pass.
+func TestALateReportOfARestartIsWithdrawnAtTheNextProbe(t *testing.T) {
+	pool, server := poolWithReturnedServer(start.Add(2 * time.Second))
 	require.True(t, server.Usable())
 	pool.ObserveWord(start.Add(5*time.Second), address(0), true)
-	require.False(t, server.Usable(), "a word that it leaves always counts")
+	require.False(t, server.Usable(), "a report of a departure always counts")
 	pool.ObserveWord(start.Add(6*time.Second), address(0), false)
-	require.False(t, server.Usable(), "its return was before it left by the word of others")
+	require.False(t, server.Usable(), "the observed return predates the reported departure")
 	pool.ObserveHealth(start.Add(6250*time.Millisecond), address(0), true, ready(1))
 	require.True(t, server.Usable())
 }
 
-func TestALateWordAboutARestartIsTakenBackAtOnceAfterAProbe(t *testing.T) {
-	pool, server := seenBackBy(start.Add(2 * time.Second))
+func TestALateReportOfARestartIsWithdrawnAtOnceAfterAProbe(t *testing.T) {
+	pool, server := poolWithReturnedServer(start.Add(2 * time.Second))
 	pool.ObserveWord(start.Add(5*time.Second), address(0), true)
 	pool.ObserveHealth(start.Add(5250*time.Millisecond), address(0), true, ready(1))
-	require.False(t, server.Usable(), "no source takes back the word of another")
+	require.False(t, server.Usable(), "no source withdraws the report of another")
 	pool.ObserveWord(start.Add(6*time.Second), address(0), false)
 	require.True(t, server.Usable())
 }
 
 func TestAReturnLongAgoProvesNothing(t *testing.T) {
-	pool, server := seenBackBy(start.Add(2 * time.Second))
-	left := start.Add(2*time.Second + DefaultWordHold)
+	pool, server := poolWithReturnedServer(start.Add(2 * time.Second))
+	left := start.Add(2*time.Second + DefaultExternalReportHold)
 	pool.ObserveWord(left, address(0), true)
 	pool.ObserveWord(left.Add(time.Second), address(0), false)
 	pool.ObserveHealth(left.Add(2*time.Second), address(0), true, ready(1))
 	require.False(t, server.Usable())
-	pool.ObserveHealth(left.Add(DefaultWordHold), address(0), true, ready(1))
+	pool.ObserveHealth(left.Add(DefaultExternalReportHold), address(0), true, ready(1))
 	require.True(t, server.Usable())
 }
 
-func TestAWordOfReturnAloneIsHeldBack(t *testing.T) {
+func TestAReportOfAReturnAloneIsHeldBack(t *testing.T) {
 	pool, _ := newPool(1)
 	pool.ObserveHealth(start, address(0), true, ready(1))
 	server, _ := pool.Server(address(0))
 	pool.ObserveWord(start.Add(time.Second), address(0), true)
 	pool.ObserveWord(start.Add(2*time.Second), address(0), false)
 	pool.ObserveHealth(start.Add(3*time.Second), address(0), true, ready(1))
-	require.False(t, server.Usable(), "the list may lag, and the endpoint may lie")
-	pool.ObserveHealth(start.Add(time.Second+DefaultWordHold), address(0), true, ready(1))
+	require.False(t, server.Usable(), "the list may lag, and the endpoint may be wrong")
+	pool.ObserveHealth(start.Add(time.Second+DefaultExternalReportHold), address(0), true, ready(1))
 	require.True(t, server.Usable())
 }
 
@@ -266,8 +267,8 @@
 		group.Generation().Candidates())
 }
 
-// TestAServerThatIsSlowFromTheStartIsFoundByComparison has no earlier latency
-// to compare with, and a group average that the slow server spoils.
+// TestAServerThatIsSlowFromTheStartIsFoundByComparison covers a slow server without
+// earlier latencies to compare with, which also raises the average of its group.
 func TestAServerThatIsSlowFromTheStartIsFoundByComparison(t *testing.T) {
 	pool, group := newPool(2)
 	var servers [2]*Server
@@ -284,9 +285,9 @@
 	}
 	require.True(t, servers[1].Suspect())
 	require.False(t, servers[0].Suspect())
-	require.Less(t, group.Latency.Quantile(0.95), 10*time.Millisecond, "hedges go by the good server")
+	require.Less(t, group.Latency.Quantile(0.95), 10*time.Millisecond, "hedge delays follow the good server")
 
-	// With nothing better left, what the server does is what is usual.
+	// If all servers are suspect, the group's statistics follow them.
 	servers[0].setSuspect(true)
 	for range 2 * rounds {
 		pool.Begin(servers[1])
--- a/internal/balancer/server.go
+++ b/internal/balancer/server.go
@@ -11,9 +11,9 @@
 	"github.com/martenstage/martenstage/internal/plan"
 )
 
-// Server is one back end as this engine knows it: its share of slots, the
-// attempts in flight, and what own observation and others say about it. It is
-// shared by all groups that it is a member of.
+// Server is this engine's state of one back end: its share of slots, the attempts in
+// flight, and its health by own observations and external reports. All groups that the
+// server belongs to share it.
 type Server struct {
 	Address netip.AddrPort
 
@@ -21,39 +21,39 @@
 	coldStart   time.Duration
 	slots       int
 	connections int
-	shared      bool
+	shareSet    bool
 	limit       admission.Limit
 	inFlight    int
 
 	latency latency.Average
 	suspect bool
-	// avoided is since when a suspect server was not tried, and passedOver how
-	// many attempts of its groups went elsewhere since.
-	avoided    time.Time
-	passedOver int
-	load       reportedLoad
-	presence   presence
-	outlier    outlier
-	readySince time.Time
+	// avoidedSince is when the wait for the next probe of a suspect server began, and
+	// passedOver the number of attempts of its groups that went to other servers since.
+	avoidedSince time.Time
+	passedOver   int
+	load         reportedLoad
+	presence     presence
+	outlier      outlier
+	readySince   time.Time
 
 	holdings []backendapi.ShardState
 	members  []*member
 }
 
-// InFlight returns the number of attempts that were begun and not finished.
+// InFlight returns the number of attempts in flight.
 func (s *Server) InFlight() int { return s.inFlight }
 
-// Limit returns the most attempts that may be in flight.
+// Limit returns the maximum number of attempts in flight.
 func (s *Server) Limit() int { return s.limit.Value() }
 
-// Usable reports whether the server may be sent new work.
+// Usable reports whether the server accepts new work.
 func (s *Server) Usable() bool { return s.presence.usable() }
 
-// Ejected reports whether the server is avoided as an outlier.
-func (s *Server) Ejected(now time.Time) bool { return now.Before(s.outlier.until) }
+// Ejected reports whether the server is ejected as an outlier.
+func (s *Server) Ejected(now time.Time) bool { return now.Before(s.outlier.ejectedUntil) }
 
-// Suspect reports whether the server's last attempts took much longer than
-// those of its group usually do.
+// Suspect reports whether the server's last attempts took much longer than is
+// typical for its group.
 func (s *Server) Suspect() bool { return s.suspect }
 
 func (s *Server) setSuspect(suspect bool) {
@@ -70,18 +70,18 @@
 	}
 }
 
-// avoid begins the time in which a suspect server is not tried.
-func (s *Server) avoid(now time.Time) { s.avoided, s.passedOver = now, 0 }
+// resetProbeWait restarts the wait before a suspect server is tried again.
+func (s *Server) resetProbeWait(now time.Time) { s.avoidedSince, s.passedOver = now, 0 }
 
-// Groups calls visit with each group that the server is a member of, in the
-// order in which they were made.
+// Groups calls visit with each group that the server belongs to, in the order of
+// their creation.
 func (s *Server) Groups(visit func(*Group)) {
 	for _, member := range s.members {
 		visit(member.group)
 	}
 }
 
-// Connections returns how many open connections are worth holding.
+// Connections returns the number of connections to keep open to the server.
 func (s *Server) Connections() int {
 	if !s.Usable() {
 		return 0
@@ -89,26 +89,27 @@
 	return admission.Ceiling(s.slots, s.connections)
 }
 
-// hasSpareSlot reports whether one more attempt would find a free slot, as far
-// as this router knows.
+// hasSpareSlot reports whether, as far as this router knows, one more attempt would
+// get a free slot.
 func (s *Server) hasSpareSlot() bool {
 	return s.inFlight < s.limit.Value() && !s.load.congested()
 }
 
-// describe takes the server's static properties from a configuration.
-func (s *Server) describe(replica plan.Replica, coldStart time.Duration) {
+// applyConfig sets the server's static properties from a configuration. Slots and
+// connections of an explicit share take precedence.
+func (s *Server) applyConfig(replica plan.Replica, coldStart time.Duration) {
 	s.zone = replica.Zone
 	s.coldStart = coldStart
-	if s.shared {
+	if s.shareSet {
 		return
 	}
 	s.slots, s.connections = replica.Slots, replica.Connections
 	s.limit.Resize(admission.Ceiling(s.slots, s.connections))
 }
 
-// share sets this router's part of the server's slots and connections.
-func (s *Server) share(slots, connections int) {
-	s.slots, s.connections, s.shared = slots, connections, true
+// setShare sets this router's share of the server's slots and connections.
+func (s *Server) setShare(slots, connections int) {
+	s.slots, s.connections, s.shareSet = slots, connections, true
 	s.limit.Resize(admission.Ceiling(slots, connections))
 }
 
