--- a/internal/routing/check.go
+++ b/internal/routing/check.go
@@ -2,14 +2,13 @@
 
 import "fmt"
 
-// InvalidError says why a document may not be put in force.
+// InvalidError reports why a document is invalid and may not become active.
 type InvalidError struct{ Detail string }
 
 // Error returns the reason.
 func (e *InvalidError) Error() string { return "the document is not valid: " + e.Detail }
 
-// Check returns nil for a document that may be put in force, or an
-// *InvalidError that names the first route at fault.
+// Check returns nil for a valid document, or an *InvalidError for the first fault.
 func (d *Document) Check() error {
 	if d.Version == 0 {
 		return invalid("it has no version")
@@ -17,17 +16,17 @@
 	services := make(map[string]bool, len(d.Services))
 	for _, service := range d.Services {
 		if service.Name == "" || services[service.Name] {
-			return invalid("service name %q is empty or stands twice", service.Name)
+			return invalid("service name %q is empty or duplicate", service.Name)
 		}
 		services[service.Name] = true
 	}
-	places := make(map[place]string, len(d.Routes))
+	places := make(map[hostPrefix]string, len(d.Routes))
 	for index := range d.Routes {
 		route := &d.Routes[index]
 		if err := route.check(services); err != nil {
 			return err
 		}
-		at := place{canonicalHost(route.Host), route.Prefix}
+		at := hostPrefix{canonicalHost(route.Host), route.Prefix}
 		if other, taken := places[at]; taken {
 			return invalid("routes %q and %q share host %s and prefix %s", other, route.Name, route.Host, route.Prefix)
 		}
@@ -36,31 +35,31 @@
 	return checkTenants(d.Tenants)
 }
 
-// checkTenants refuses tenants that could not be told from each other. Its errors name
-// tenants and never a key.
+// checkTenants rejects tenants that can't be distinguished. Its errors contain tenant
+// names, but never a key.
 func checkTenants(tenants []Tenant) error {
 	names := make(map[string]bool, len(tenants))
-	holders := make(map[string]string)
+	tenantByKey := make(map[string]string)
 	for _, tenant := range tenants {
 		if tenant.Name == "" || names[tenant.Name] {
-			return invalid("tenant name %q is empty or stands twice", tenant.Name)
+			return invalid("tenant name %q is empty or duplicate", tenant.Name)
 		}
 		names[tenant.Name] = true
 		if tenant.Rate < 0 || tenant.Burst < 0 {
 			return invalid("tenant %q has a negative rate or burst", tenant.Name)
 		}
 		for _, key := range tenant.Keys {
-			if other, held := holders[key]; held && other != tenant.Name {
+			if other, found := tenantByKey[key]; found && other != tenant.Name {
 				return invalid("tenants %q and %q share a key", other, tenant.Name)
 			}
-			holders[key] = tenant.Name
+			tenantByKey[key] = tenant.Name
 		}
 	}
 	return nil
 }
 
-// place is what no two routes may have in common.
-type place struct{ host, prefix string }
+// hostPrefix is the host and path prefix of a route, unique in a document.
+type hostPrefix struct{ host, prefix string }
 
 func (r *Route) check(services map[string]bool) error {
 	if r.Timeout <= 0 {
--- a/internal/routing/document.go
+++ b/internal/routing/document.go
@@ -1,39 +1,38 @@
-// Package routing holds the routing document: which routes there are, which
-// services or shards answer them, and the bounds on what clients may send. It
-// checks documents and finds the route of a request. How a document is written
-// on the wire is the business of whoever parses it.
+// Package routing defines the routing document: the routes, the services or shards
+// that answer them, and the limits on what clients may send. It validates documents
+// and finds the route of a request. Wire formats are left to the parsers of
+// documents.
 package routing
 
 import "time"
 
-// Document is one whole version of the routing configuration. It is never
-// changed after Check.
+// Document is one version of the routing configuration. Apart from NewTable, nothing
+// changes it after Check.
 type Document struct {
-	// Version orders documents; the highest one is in force.
+	// Version orders documents; the one with the highest version is active.
 	Version  uint64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Tenants are who may send requests; with none, requests need no key.
+	// Tenants may send requests; without tenants, requests need no key.
 	Tenants []Tenant
 }
 
-// Tenant is one of those that share the site. A request is a tenant's if it carries one of
-// its keys.
+// Tenant is one tenant of the site. A request belongs to the tenant whose key it carries.
 type Tenant struct {
 	Name string
-	// Keys are secrets: they stand in no log line, error or message to a server.
+	// Keys are secrets: they must not appear in logs, errors or messages to servers.
 	Keys []string
-	// Priority goes before that of the route, unless nil; 0 is the highest rank.
+	// Priority overrides that of the route unless nil; 0 is the highest.
 	Priority *int
-	// Rate is how many requests a second the tenant may send, over all routers together,
-	// and Burst how many beyond that at once. A rate of 0 is no limit.
+	// Rate is the number of requests per second that the tenant may send, over all routers
+	// together, and Burst the number beyond that at once. A rate of 0 means no limit.
 	Rate  float64
 	Burst float64
 }
 
-// Route says who answers the requests of one host below one path prefix.
-// Exactly one of Targets and Shards is set.
+// Route defines how requests for one host and path prefix are answered. Exactly
+// one of Targets and Shards is set.
 type Route struct {
 	Name   string
 	Host   string
@@ -42,25 +41,25 @@
 	Public bool
 	// Repeatable requests may be sent to more than one server.
 	Repeatable bool
-	// Timeout is the longest that a request may be held.
+	// Timeout is the maximum time that a request may take.
 	Timeout time.Duration
-	// Target is the time within which an answer is worth most; 0 for none.
+	// Target is the latency up to which an answer has its full value; 0 for none.
 	Target time.Duration
-	// Priority ranks routes; 0 is the highest rank.
+	// Priority is the priority of the route; 0 is the highest.
 	Priority int
-	// MaxAttempts bounds the servers that one request is sent to, for each shard.
+	// MaxAttempts is the maximum number of servers per shard that a request is sent to.
 	MaxAttempts int
-	// Targets are services that share the requests by weight.
+	// Targets are services between which the requests are split by weight.
 	Targets []Target
-	// Shards are services of which each holds a part of every answer.
+	// Shards are services that each hold a part of every answer.
 	Shards []string
-	// TopRecords is how many of the greatest records a gathered answer holds.
+	// TopRecords is the number of top records in a gathered answer.
 	TopRecords int
-	// LeastShare is the part of the shards, 0 to 1, that an answer needs.
+	// LeastShare is the minimum fraction of the shards, 0 to 1, that an answer needs.
 	LeastShare float64
 }
 
-// Gathers reports whether the answer is put together from shards.
+// Gathers reports whether the answer is merged from shards.
 func (r *Route) Gathers() bool { return len(r.Shards) > 0 }
 
 // Target is one service of a route with its share of the requests.
@@ -73,16 +72,16 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections bounds the connections to each server, from all callers
-	// together; 0 for no bound.
+	// MaxConnections is the maximum number of connections to each server, from all
+	// callers together; 0 for no limit.
 	MaxConnections int
-	// ColdRate is how many requests a second one of its servers bears while it is cold,
-	// from all routers together; 0 for no bound.
+	// ColdRate is the maximum number of requests per second to one server during its cold
+	// start, from all routers together; 0 for no limit.
 	ColdRate float64
 }
 
 // Limits bound what a client may send and how long it may take. Zero values
-// mean no bound.
+// mean no limit.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
--- a/internal/routing/keyring.go
+++ b/internal/routing/keyring.go
@@ -2,26 +2,26 @@
 
 import "crypto/sha256"
 
-// KeySeed makes the digests of a keyring its own: it is drawn by each process and told to
-// nobody.
+// KeySeed is the secret prefix of the key digests of a keyring. Each process draws its own
+// and never discloses it.
 type KeySeed [sha256.Size]byte
 
-// digest is a key as a keyring holds it.
+// digest is the digest of a key.
 type digest [sha256.Size]byte
 
-// keyring finds the tenant of a key. It holds no key, only SHA-256 (FIPS 180-4) digests of
-// them behind a secret seed: how long a look-up takes says nothing about keys that are
-// nearly right, since nobody outside can choose or guess a digest.
+// keyring finds the tenant of a key. It stores only SHA-256 (FIPS 180-4) digests of a secret
+// seed followed by the key. An attacker can neither choose nor guess a digest, so the time of
+// a lookup reveals nothing about keys that are nearly correct.
 type keyring struct {
 	seed    KeySeed
 	tenants map[digest]*Tenant
 }
 
-// inlineKeyBytes is up to which length a key is digested without allocation.
+// inlineKeyBytes is the maximum length of a key that is digested without an allocation.
 const inlineKeyBytes = 256
 
-// newKeyring takes the keys of tenants over and removes them from the document, which is
-// kept as long as it is in force.
+// newKeyring indexes the keys of tenants and removes them from the document, which stays in
+// memory while it is active.
 func newKeyring(tenants []Tenant, seed KeySeed) keyring {
 	ring := keyring{seed: seed, tenants: make(map[digest]*Tenant)}
 	for index := range tenants {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -10,7 +10,7 @@
 	"github.com/martenstage/martenstage/internal/routing"
 )
 
-func document() *routing.Document {
+func testDocument() *routing.Document {
 	return &routing.Document{
 		Version:  3,
 		Services: []routing.Service{{Name: "a"}, {Name: "b"}},
@@ -22,7 +22,7 @@
 }
 
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
-	table := routing.NewTable(document(), routing.KeySeed{})
+	table := routing.NewTable(testDocument(), routing.KeySeed{})
 	for path, want := range map[string]string{"/x/1": "short", "/x/y/1": "long", "/x/y": "short"} {
 		require.Equal(t, want, table.Find("SITE.example:80", path).Name, path)
 	}
@@ -31,7 +31,7 @@
 }
 
 func TestCheckRefusesEachInvalidDocument(t *testing.T) {
-	require.NoError(t, document().Check())
+	require.NoError(t, testDocument().Check())
 	for name, spoil := range map[string]func(*routing.Document){
 		"no version":      func(d *routing.Document) { d.Version = 0 },
 		"unknown service": func(d *routing.Document) { d.Routes[0].Targets[0].Service = "z" },
@@ -44,7 +44,7 @@
 		"no target":       func(d *routing.Document) { d.Routes[0].Targets = nil },
 		"service twice":   func(d *routing.Document) { d.Services[1].Name = "a" },
 	} {
-		spoiled := document()
+		spoiled := testDocument()
 		spoil(spoiled)
 		var invalid *routing.InvalidError
 		require.ErrorAs(t, spoiled.Check(), &invalid, name)
@@ -62,7 +62,7 @@
 }
 
 func TestEqualListsOfShardsAreKeptOnce(t *testing.T) {
-	large := document()
+	large := testDocument()
 	large.Routes = append(large.Routes,
 		routing.Route{Name: "same", Host: "h", Prefix: "/1/", Shards: []string{"a", "b"}},
 		routing.Route{Name: "other", Host: "h", Prefix: "/2/", Shards: []string{"b", "a"}},
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -13,14 +13,15 @@
 type Table struct {
 	document *Document
 	// byHost holds the routes of a host, longest prefix first.
-	byHost   map[string][]*Route
-	services map[string]*Service
-	lists    [][]string
-	keys     keyring
+	byHost     map[string][]*Route
+	services   map[string]*Service
+	shardLists [][]string
+	keys       keyring
 }
 
-// NewTable indexes a checked document, whose routes share equal lists from then on and
-// whose tenants hold no keys any more: the table alone knows them, as digests with a seed.
+// NewTable indexes a checked document. It changes the document: equal shard lists become
+// shared between routes, and the keys of tenants are removed, as the table stores only
+// their seeded digests.
 func NewTable(document *Document, seed KeySeed) *Table {
 	table := &Table{
 		document: document, keys: newKeyring(document.Tenants, seed),
@@ -30,7 +31,7 @@
 	for index := range document.Routes {
 		route := &document.Routes[index]
 		if route.Gathers() {
-			route.Shards = table.shared(route.Shards)
+			route.Shards = table.internShards(route.Shards)
 		}
 		host := canonicalHost(route.Host)
 		table.byHost[host] = append(table.byHost[host], route)
@@ -44,21 +45,21 @@
 	return table
 }
 
-// shared returns the list that equal lists of shards share, so that a large
-// document holds, and what is worked out of them is kept for, each only once.
-func (t *Table) shared(shards []string) []string {
-	for _, list := range t.lists {
+// internShards returns the shared copy of a list of shards, so that a large document
+// holds each distinct list only once, and so do results computed from it.
+func (t *Table) internShards(shards []string) []string {
+	for _, list := range t.shardLists {
 		if slices.Equal(list, shards) {
 			return list
 		}
 	}
-	t.lists = append(t.lists, shards)
+	t.shardLists = append(t.shardLists, shards)
 	return shards
 }
 
-// ShardLists returns the different lists of shards of the document's routes. Equal
-// lists of routes are one of these.
-func (t *Table) ShardLists() [][]string { return t.lists }
+// ShardLists returns the distinct shard lists of the document's routes. Routes with equal
+// lists share one of them.
+func (t *Table) ShardLists() [][]string { return t.shardLists }
 
 // Document returns the document that the table was made from.
 func (t *Table) Document() *Document { return t.document }
@@ -72,8 +73,8 @@
 // TenantOf returns the tenant that holds a key, or nil.
 func (t *Table) TenantOf(key string) *Tenant { return t.keys.find(key) }
 
-// Find returns the route of a host whose prefix is the longest that begins the
-// path, or nil. A port in the host is ignored.
+// Find returns the route of the host with the longest matching path prefix, or nil.
+// A port in the host is ignored.
 func (t *Table) Find(host, path string) *Route {
 	for _, route := range t.byHost[canonicalHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -86,9 +87,9 @@
 // Service returns a service of the document, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// ServiceOf returns the service that answers a request of a route without
-// shards. Requests are divided by a hash of their id, so that the choice needs
-// no state and agrees on every router.
+// ServiceOf returns the service that answers a request of a route without shards.
+// Requests are split by a hash of their ID, so that the choice needs no state and is
+// the same on every router.
 func (r *Route) ServiceOf(requestID string) string {
 	total := 0
 	for _, target := range r.Targets {
--- a/internal/routing/tenants_test.go
+++ b/internal/routing/tenants_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestTenantsThatShareAKeyAreNamedWithoutIt(t *testing.T) {
-	shared := document()
+	shared := testDocument()
 	shared.Tenants = []routing.Tenant{{Name: "one", Keys: []string{"a", "secret"}}, {Name: "two", Keys: []string{"secret"}}}
 	var invalid *routing.InvalidError
 	require.ErrorAs(t, shared.Check(), &invalid)
@@ -26,18 +26,18 @@
 		"negative rate":  {{Name: "one", Rate: -1}},
 		"negative burst": {{Name: "one", Burst: -1}},
 	} {
-		spoiled := document()
+		spoiled := testDocument()
 		spoiled.Tenants = tenants
 		var invalid *routing.InvalidError
 		require.ErrorAs(t, spoiled.Check(), &invalid, name)
 	}
-	sound := document()
+	sound := testDocument()
 	sound.Tenants = []routing.Tenant{{Name: "one", Keys: []string{"a", "a"}}, {Name: "two"}}
 	require.NoError(t, sound.Check(), "a tenant may name a key twice, or have none")
 }
 
 func TestKeysFindTheirTenantAndStayNowhere(t *testing.T) {
-	held := document()
+	held := testDocument()
 	long := fmt.Sprintf("%0500d", 7)
 	held.Tenants = []routing.Tenant{{Name: "one", Keys: []string{"a", "b", long}}, {Name: "two", Keys: []string{"c"}}}
 	table := routing.NewTable(held, routing.KeySeed{1})
@@ -50,13 +50,13 @@
 	require.NotContains(t, fmt.Sprintf("%+v", table.Document()), long)
 	require.True(t, table.NeedsKey(&held.Routes[0]))
 	require.False(t, table.NeedsKey(&routing.Route{Public: true}))
-	require.False(t, routing.NewTable(document(), routing.KeySeed{}).NeedsKey(&held.Routes[0]), "no tenants, no keys")
+	require.False(t, routing.NewTable(testDocument(), routing.KeySeed{}).NeedsKey(&held.Routes[0]), "no tenants, no keys")
 }
 
 // BenchmarkTenantOf looks a key up among 10,000 tenants of two keys each.
 func BenchmarkTenantOf(b *testing.B) {
 	const tenants = 10_000
-	held := document()
+	held := testDocument()
 	for number := range tenants {
 		held.Tenants = append(held.Tenants, routing.Tenant{
 			Name: fmt.Sprint("tenant-", number), Keys: []string{fmt.Sprint("first-key-", number), fmt.Sprint("second-key-", number)},
