--- a/internal/probing/attempt.go
+++ b/internal/probing/attempt.go
@@ -7,15 +7,14 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// ProbeOf returns what a probe's outcome says to a Schedule.
+// ProbeOf converts a health observation for a Schedule.
 func ProbeOf(observed query.HealthObserved, at time.Time) Probe {
 	return Probe{
 		At: at, Reachable: observed.Reachable, Silent: observed.Silent, State: observed.Health.State, Holdings: observed.Health.Holdings,
 	}
 }
 
-// ReplyOf returns what the end of an attempt that was sent at a time says to a
-// Schedule.
+// ReplyOf converts the outcome of an attempt for a Schedule.
 func ReplyOf(outcome query.Event, sent, at time.Time) Reply {
 	reply := Reply{Sent: sent, At: at}
 	switch typed := outcome.(type) {
@@ -38,19 +37,19 @@
 	}
 }
 
-// meaningOfFailure reads a failed attempt. A refusal for load is no observation
-// of a back end that serves: one that has restarted and is still loading its
-// index answers alike.
+// meaningOfFailure classifies a failed attempt. A refusal because of load does not
+// show that the back end is serving: one that has restarted and is still loading
+// its index refuses in the same way.
 func meaningOfFailure(failed query.AttemptFailed) Meaning {
 	refused := failed.Verdict == verdict.NotRun && failed.Report.Known
 	switch {
 	case failed.Report.Draining || failed.Reason == verdict.ReasonDraining:
 		return MeaningDraining
 	case failed.Reason == verdict.ReasonSnapshotGone || (refused && failed.Reason == verdict.ReasonNoReplica):
-		return MeaningMoved
+		return MeaningHoldingsChanged
 	case failed.Reason == verdict.ReasonCanceled || failed.Reason == verdict.ReasonNoReplica:
 		return MeaningNone
 	default:
-		return MeaningLost
+		return MeaningFailed
 	}
 }
--- a/internal/probing/schedule_test.go
+++ b/internal/probing/schedule_test.go
@@ -13,107 +13,107 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-var begin = time.Unix(1_000_000, 0)
+var start = time.Unix(1_000_000, 0)
 
-// testConfig has the defaults written out, so that the properties name them.
+// testConfig spells out the defaults for use in the properties.
 var testConfig = probing.Config{
 	Interval: 250 * time.Millisecond, IdlePause: 1500 * time.Millisecond,
 	HeardPause: 4 * time.Second, DownPause: 4 * time.Second, Rate: 16,
 }
 
-// shortest is the least that spreading leaves of a pause.
-func shortest(pause time.Duration) time.Duration { return pause * 3 / 4 }
+// minWithJitter returns a pause with the largest negative jitter.
+func minWithJitter(pause time.Duration) time.Duration { return pause * 3 / 4 }
 
-// model drives a schedule and remembers what it was told.
+// model drives a schedule and tracks its inputs.
 type model struct {
 	*rapid.T
 	now      time.Time
 	schedule *probing.Schedule
 	routers  int
-	mark     string
+	holdings string
 
-	probed  probing.Probe
-	served  time.Time // sent
-	doubted bool
-	refused bool
-	lost    int
+	probed     probing.Probe
+	servedAt   time.Time // sent
+	suspected  bool
+	refused    bool
+	lostProbes int
 
-	refusedAt, watched, downFrom time.Time
+	refusedAt, closeProbingUntil, downSince time.Time
 }
 
 func newModel(t *rapid.T) *model {
-	m := &model{T: t, now: begin, mark: "a", routers: rapid.IntRange(1, 200).Draw(t, "routers")}
-	m.schedule = probing.New(testConfig, begin, rapid.Uint64().Draw(t, "seed"))
+	m := &model{T: t, now: start, holdings: "a", routers: rapid.IntRange(1, 200).Draw(t, "routers")}
+	m.schedule = probing.New(testConfig, start, rapid.Uint64().Draw(t, "seed"))
 	m.schedule.SetRouters(m.routers)
 	return m
 }
 
-// probe waits until the schedule asks for one and makes it.
+// probe waits until the next probe is due and makes it.
 func (m *model) probe(reachable bool, state backendapi.ReadyState) {
 	if due := m.schedule.Due(); due.After(m.now) {
 		m.now = due
 	}
 	before := m.probed
-	m.probed = probing.Probe{At: m.now, Reachable: reachable, Silent: !reachable, State: state, Holdings: m.mark}
+	m.probed = probing.Probe{At: m.now, Reachable: reachable, Silent: !reachable, State: state, Holdings: m.holdings}
 	if !reachable {
 		m.probed.State, m.probed.Holdings = "", ""
 	}
 	if before.At.IsZero() || before.Reachable != reachable || before.State != m.probed.State {
-		m.downFrom = m.now
+		m.downSince = m.now
 	}
 	m.schedule.Probed(m.probed)
-	m.doubted = false
+	m.suspected = false
 	if reachable {
-		m.lost = 0
+		m.lostProbes = 0
 	} else {
-		m.lost++
+		m.lostProbes++
 	}
-	agrees := (reachable && state != backendapi.StateReady) || m.lost >= 2
+	agrees := (reachable && state != backendapi.StateReady) || m.lostProbes >= 2
 	m.refused = m.refused && !agrees && m.now.Sub(m.refusedAt) < 5*time.Minute
 }
 
 func (m *model) ready() bool { return m.probed.Reachable && m.probed.State == backendapi.StateReady }
 
-func (m *model) hear(meaning probing.Meaning, age time.Duration, mark string) {
+func (m *model) reply(meaning probing.Meaning, age time.Duration, holdings string) {
 	sent := m.now.Add(-age)
-	m.schedule.Heard(probing.Reply{Sent: sent, At: m.now, Meaning: meaning, Holdings: mark})
+	m.schedule.Heard(probing.Reply{Sent: sent, At: m.now, Meaning: meaning, Holdings: holdings})
 	switch meaning {
 	case probing.MeaningServing:
 		m.refused = m.refused && !sent.After(m.refusedAt)
 		switch {
-		case mark == "":
-		case mark != m.probed.Holdings:
-			m.doubted = m.doubted || m.probed.Holdings != ""
-		case sent.After(m.served):
-			m.served = sent
+		case holdings == "":
+		case holdings != m.probed.Holdings:
+			m.suspected = m.suspected || m.probed.Holdings != ""
+		case sent.After(m.servedAt):
+			m.servedAt = sent
 		}
 	case probing.MeaningDraining:
 		m.refused, m.refusedAt = true, m.now
-	case probing.MeaningLost:
-		m.doubted = m.doubted || !m.served.After(sent)
-	case probing.MeaningMoved:
-		m.doubted = true
+	case probing.MeaningFailed:
+		m.suspected = m.suspected || !m.servedAt.After(sent)
+	case probing.MeaningHoldingsChanged:
+		m.suspected = true
 	}
 }
 
-func (m *model) watch() {
+func (m *model) probeClosely() {
 	m.schedule.Watch(m.now)
-	m.watched = m.now.Add(6 * time.Second)
+	m.closeProbingUntil = m.now.Add(6 * time.Second)
 }
 
-// check holds the due time against what is promised for the state.
+// check compares the due time with the bounds for the state.
 func (m *model) check() {
 	if m.probed.At.IsZero() {
-		require.False(m, m.schedule.Due().After(begin.Add(testConfig.Interval/2)), "first probe")
+		require.False(m, m.schedule.Due().After(start.Add(testConfig.Interval/2)), "first probe")
 		return
 	}
 	pause := m.schedule.Due().Sub(m.probed.At)
-	require.GreaterOrEqual(m, pause, shortest(testConfig.Interval), "probes come too fast")
+	require.GreaterOrEqual(m, pause, minWithJitter(testConfig.Interval), "probes come too fast")
 	switch {
-	case m.doubted || m.refused || m.probed.At.Before(m.watched):
-		require.LessOrEqual(m, pause, probing.Longest(testConfig.Interval), "in doubt")
+	case m.suspected || m.refused || m.probed.At.Before(m.closeProbingUntil):
+		require.LessOrEqual(m, pause, probing.Longest(testConfig.Interval), "state uncertain")
 	case !m.ready():
-		bound := min(max(m.probed.At.Sub(m.downFrom)/4, testConfig.Interval), testConfig.DownPause)
+		bound := min(max(m.probed.At.Sub(m.downSince)/4, testConfig.Interval), testConfig.DownPause)
 		require.LessOrEqual(m, pause, probing.Longest(bound), "down")
 	default:
 		m.checkReady(pause)
@@ -123,17 +123,17 @@
 func (m *model) checkReady(pause time.Duration) {
 	require.LessOrEqual(m, pause, probing.Longest(testConfig.HeardPause), "longest pause")
 	observed := m.probed.At
-	if m.served.After(observed) {
-		observed = m.served
+	if m.servedAt.After(observed) {
+		observed = m.servedAt
 	}
 	silence := m.schedule.Due().Sub(observed)
 	require.LessOrEqual(m, silence, probing.Longest(testConfig.IdlePause), "nothing newer is known")
 	share := time.Duration(float64(m.routers) / testConfig.Rate * float64(time.Second))
-	require.GreaterOrEqual(m, pause, shortest(min(max(share, testConfig.Interval), testConfig.IdlePause)), "the server's rate")
+	require.GreaterOrEqual(m, pause, minWithJitter(min(max(share, testConfig.Interval), testConfig.IdlePause)), "the server's rate")
 }
 
-// TestScheduleKeepsItsBounds plays random probes, replies and words and checks
-// after each when the next probe is due.
+// TestScheduleKeepsItsBounds applies random probes, replies and external reports and
+// checks after each when the next probe is due.
 func TestScheduleKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -146,34 +146,34 @@
 			"warming":  func(*rapid.T) { m.probe(true, backendapi.StateWarming) },
 			"lost":     func(*rapid.T) { m.probe(false, "") },
 			"moved": func(t *rapid.T) {
-				m.mark = rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "mark")
+				m.holdings = rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "holdings")
 			},
 			"wait": func(t *rapid.T) {
 				m.now = m.now.Add(min(ages.Draw(t, "wait"), max(m.schedule.Due().Sub(m.now), 0)))
 			},
-			"serving": func(t *rapid.T) { m.hear(probing.MeaningServing, ages.Draw(t, "age"), m.mark) },
+			"serving": func(t *rapid.T) { m.reply(probing.MeaningServing, ages.Draw(t, "age"), m.holdings) },
 			"failure": func(t *rapid.T) {
 				meaning := rapid.SampledFrom([]probing.Meaning{
-					probing.MeaningNone, probing.MeaningDraining, probing.MeaningLost, probing.MeaningMoved,
+					probing.MeaningNone, probing.MeaningDraining, probing.MeaningFailed, probing.MeaningHoldingsChanged,
 				}).Draw(t, "meaning")
-				m.hear(meaning, ages.Draw(t, "age"), "")
+				m.reply(meaning, ages.Draw(t, "age"), "")
 			},
-			"word": func(*rapid.T) { m.watch() },
-			"":     func(t *rapid.T) { m.check() },
+			"watch": func(*rapid.T) { m.probeClosely() },
+			"":      func(t *rapid.T) { m.check() },
 		})
 	})
 }
 
-// probesIn counts the probes of a server that is always ready in a minute, with
-// a reply for each query at an interval; none for interval 0.
-func probesIn(t *testing.T, routers int, queries time.Duration, mark string) int {
-	schedule := probing.New(testConfig, begin, 7)
+// probesIn counts the probes of an always ready server in a minute, with replies to
+// queries at an interval; no queries for interval 0.
+func probesIn(t *testing.T, routers int, queries time.Duration, holdings string) int {
+	schedule := probing.New(testConfig, start, 7)
 	schedule.SetRouters(routers)
-	count, next := 0, begin
-	for now := begin; now.Before(begin.Add(time.Minute)); now = now.Add(time.Millisecond) {
+	count, next := 0, start
+	for now := start; now.Before(start.Add(time.Minute)); now = now.Add(time.Millisecond) {
 		if queries > 0 && !now.Before(next) {
 			next = now.Add(queries)
-			schedule.Heard(probing.Reply{Sent: now.Add(-5 * time.Millisecond), At: now, Meaning: probing.MeaningServing, Holdings: mark})
+			schedule.Heard(probing.Reply{Sent: now.Add(-5 * time.Millisecond), At: now, Meaning: probing.MeaningServing, Holdings: holdings})
 		}
 		if !now.Before(schedule.Due()) {
 			count++
@@ -184,24 +184,24 @@
 	return count
 }
 
-func TestRepliesStandInForProbes(t *testing.T) {
+func TestRepliesReplaceProbes(t *testing.T) {
 	idle := probesIn(t, 64, 0, "")
 	require.InDelta(t, 40, idle, 5, "one in the idle pause")
 	require.InDelta(t, 240, probesIn(t, 1, 0, ""), 25, "one in the interval")
-	require.InDelta(t, 15, probesIn(t, 64, 10*time.Millisecond, "a"), 3, "one in the heard pause")
-	require.InDelta(t, idle, probesIn(t, 64, 10*time.Millisecond, ""), 5, "without a mark a reply is no observation")
-	require.InDelta(t, 240, probesIn(t, 64, 10*time.Millisecond, "b"), 25, "another mark calls for a probe")
+	require.InDelta(t, 15, probesIn(t, 64, 10*time.Millisecond, "a"), 3, "one in the pause for observed back ends")
+	require.InDelta(t, idle, probesIn(t, 64, 10*time.Millisecond, ""), 5, "a reply without holdings is no observation")
+	require.InDelta(t, 240, probesIn(t, 64, 10*time.Millisecond, "b"), 25, "changed holdings require a probe")
 }
 
 func TestRoutersWithOtherSeedsSpreadTheirProbes(t *testing.T) {
 	const routers, slots = 64, 10
 	counts := make([]int, slots)
 	for seed := range uint64(routers) {
-		schedule := probing.New(testConfig, begin, seed)
+		schedule := probing.New(testConfig, start, seed)
 		schedule.SetRouters(routers)
-		for schedule.Due().Before(begin.Add(time.Minute)) {
+		for schedule.Due().Before(start.Add(time.Minute)) {
 			due := schedule.Due()
-			if passed := due.Sub(begin); passed > 59*time.Second {
+			if passed := due.Sub(start); passed > 59*time.Second {
 				counts[int(passed-59*time.Second)*slots/int(time.Second)]++
 			}
 			schedule.Probed(probing.Probe{At: due, Reachable: true, State: backendapi.StateReady})
@@ -216,13 +216,13 @@
 	}
 }
 
-// A back end is away for some time: its return is noticed within a third of the
-// time that it was away, and within 5 s however long that was.
+// TestReturnIsNoticedInAPartOfTheOutage checks that the return of a back end is noticed
+// within a third of its outage, and within 5 s after any outage.
 func TestReturnIsNoticedInAPartOfTheOutage(t *testing.T) {
 	for _, outage := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second, time.Minute, time.Hour} {
 		for seed := range uint64(20) {
-			schedule := probing.New(testConfig, begin, seed)
-			schedule.Probed(probing.Probe{At: begin, Reachable: true, State: backendapi.StateReady})
+			schedule := probing.New(testConfig, start, seed)
+			schedule.Probed(probing.Probe{At: start, Reachable: true, State: backendapi.StateReady})
 			gone := schedule.Due()
 			back := gone.Add(outage)
 			for schedule.Due().Before(back) {
@@ -234,38 +234,38 @@
 	}
 }
 
-// An endpoint that never stops saying ready after a refusal is probed closely for
-// as long as it is not believed, and then as any other.
+// TestDistrustEnds checks that an endpoint that keeps reporting ready after a refusal is
+// probed closely while it is distrusted, and normally afterwards.
 func TestDistrustEnds(t *testing.T) {
-	schedule := probing.New(testConfig, begin, 1)
+	schedule := probing.New(testConfig, start, 1)
 	schedule.SetRouters(64)
 	ready := func(at time.Time) time.Duration {
 		schedule.Probed(probing.Probe{At: at, Reachable: true, State: backendapi.StateReady})
 		return schedule.Due().Sub(at)
 	}
-	ready(begin)
-	schedule.Heard(probing.Reply{Sent: begin, At: begin, Meaning: probing.MeaningDraining})
-	require.LessOrEqual(t, ready(begin.Add(5*time.Minute-time.Second)), probing.Longest(testConfig.Interval))
-	require.GreaterOrEqual(t, ready(begin.Add(5*time.Minute)), shortest(testConfig.IdlePause))
+	ready(start)
+	schedule.Heard(probing.Reply{Sent: start, At: start, Meaning: probing.MeaningDraining})
+	require.LessOrEqual(t, ready(start.Add(5*time.Minute-time.Second)), probing.Longest(testConfig.Interval))
+	require.GreaterOrEqual(t, ready(start.Add(5*time.Minute)), minWithJitter(testConfig.IdlePause))
 
-	// A query that was sent later and served ends it at once, one before does not.
-	now := begin.Add(6 * time.Minute)
+	// A served query ends the distrust at once if it was sent after the refusal.
+	now := start.Add(6 * time.Minute)
 	schedule.Heard(probing.Reply{Sent: now, At: now, Meaning: probing.MeaningDraining})
 	schedule.Heard(probing.Reply{Sent: now.Add(-time.Second), At: now, Meaning: probing.MeaningServing})
 	require.LessOrEqual(t, ready(now), probing.Longest(testConfig.Interval))
 	schedule.Heard(probing.Reply{Sent: now.Add(time.Second), At: now, Meaning: probing.MeaningServing})
-	require.GreaterOrEqual(t, ready(now), shortest(testConfig.IdlePause))
+	require.GreaterOrEqual(t, ready(now), minWithJitter(testConfig.IdlePause))
 }
 
-// A probe that could not be made is tried again an interval later.
+// TestSkippedProbesAreMadeUpFor checks that a skipped probe is due again an interval later.
 func TestSkippedProbesAreMadeUpFor(t *testing.T) {
-	schedule := probing.New(testConfig, begin, 1)
+	schedule := probing.New(testConfig, start, 1)
 	schedule.SetRouters(64)
-	schedule.Skipped(begin)
-	require.Equal(t, begin.Add(testConfig.Interval), schedule.Due())
-	schedule.Probed(probing.Probe{At: begin, Reachable: true, State: backendapi.StateReady})
-	schedule.Skipped(begin.Add(time.Second))
-	require.LessOrEqual(t, schedule.Due().Sub(begin.Add(time.Second)), probing.Longest(testConfig.Interval))
+	schedule.Skipped(start)
+	require.Equal(t, start.Add(testConfig.Interval), schedule.Due())
+	schedule.Probed(probing.Probe{At: start, Reachable: true, State: backendapi.StateReady})
+	schedule.Skipped(start.Add(time.Second))
+	require.LessOrEqual(t, schedule.Due().Sub(start.Add(time.Second)), probing.Longest(testConfig.Interval))
 }
 
 func TestWhatTheEndOfAnAttemptMeans(t *testing.T) {
@@ -279,48 +279,50 @@
 		want    probing.Meaning
 	}{
 		"part":                     {query.PartArrived{Report: serving}, probing.MeaningServing},
-		"part with a mark":         {query.PartArrived{Report: draining}, probing.MeaningDraining},
+		"part, draining":           {query.PartArrived{Report: draining}, probing.MeaningDraining},
 		"part without a report":    {query.PartArrived{}, probing.MeaningNone},
 		"refused as draining":      {failed(verdict.NotRun, verdict.ReasonDraining, query.Report{Known: true}), probing.MeaningDraining},
-		"refused for load":         {failed(verdict.NotRun, verdict.ReasonOverloaded, serving), probing.MeaningLost},
-		"refused, unknown":         {failed(verdict.NotRun, verdict.ReasonSnapshotGone, serving), probing.MeaningMoved},
-		"refused, unknown shard":   {failed(verdict.NotRun, verdict.ReasonNoReplica, serving), probing.MeaningMoved},
+		"refused for load":         {failed(verdict.NotRun, verdict.ReasonOverloaded, serving), probing.MeaningFailed},
+		"refused, unknown":         {failed(verdict.NotRun, verdict.ReasonSnapshotGone, serving), probing.MeaningHoldingsChanged},
+		"refused, unknown shard":   {failed(verdict.NotRun, verdict.ReasonNoReplica, serving), probing.MeaningHoldingsChanged},
 		"no connection to spare":   {failed(verdict.NotRun, verdict.ReasonNoReplica, query.Report{}), probing.MeaningNone},
 		"canceled by the router":   {failed(verdict.MayHaveRun, verdict.ReasonCanceled, query.Report{}), probing.MeaningNone},
-		"connection refused":       {failed(verdict.NotRun, verdict.ReasonConnection, query.Report{}), probing.MeaningLost},
-		"timeout":                  {failed(verdict.MayHaveRun, verdict.ReasonTimeout, query.Report{}), probing.MeaningLost},
-		"error of the back end":    {failed(verdict.MayHaveRun, verdict.ReasonBackendError, serving), probing.MeaningLost},
+		"connection refused":       {failed(verdict.NotRun, verdict.ReasonConnection, query.Report{}), probing.MeaningFailed},
+		"timeout":                  {failed(verdict.MayHaveRun, verdict.ReasonTimeout, query.Report{}), probing.MeaningFailed},
+		"error of the back end":    {failed(verdict.MayHaveRun, verdict.ReasonBackendError, serving), probing.MeaningFailed},
 		"an event of another kind": {query.TimerFired{}, probing.MeaningNone},
 	} {
-		require.Equal(t, test.want, probing.ReplyOf(test.outcome, begin, begin).Meaning, name)
+		require.Equal(t, test.want, probing.ReplyOf(test.outcome, start, start).Meaning, name)
 	}
 }
 
-// A reply that waited to be read proves no more than one read at once.
+// TestAReplyCountsFromWhenItsQueryWasSent checks that a reply which is read late counts
+// no longer than one read at once.
 func TestAReplyCountsFromWhenItsQueryWasSent(t *testing.T) {
 	dueAfter := func(read time.Duration) time.Time {
-		schedule := probing.New(testConfig, begin, 1)
+		schedule := probing.New(testConfig, start, 1)
 		schedule.SetRouters(64)
-		schedule.Probed(probing.Probe{At: begin, Reachable: true, State: backendapi.StateReady, Holdings: "a"})
-		sent := begin.Add(time.Second)
+		schedule.Probed(probing.Probe{At: start, Reachable: true, State: backendapi.StateReady, Holdings: "a"})
+		sent := start.Add(time.Second)
 		schedule.Heard(probing.Reply{Sent: sent, At: sent.Add(read), Meaning: probing.MeaningServing, Holdings: "a"})
 		return schedule.Due()
 	}
-	require.True(t, dueAfter(0).After(begin.Add(time.Second)), "it counts")
+	require.True(t, dueAfter(0).After(start.Add(time.Second)), "the reply counts")
 	require.Equal(t, dueAfter(0), dueAfter(time.Second))
 }
 
-// One probe without a word does not end the close probing of a back end that
-// refused while its endpoint says ready; two do, and so does a reset connection.
-func TestOneLostProbeSaysNothingOfADeparture(t *testing.T) {
+// TestOneLostProbeDoesNotEndCloseProbing checks that one timed-out probe does not end the
+// close probing of a back end that refused while its endpoint reports ready; two do, and so
+// does a reset connection.
+func TestOneLostProbeDoesNotEndCloseProbing(t *testing.T) {
 	for _, test := range []struct {
 		lost   int
 		silent bool
 		close  bool
 	}{{1, true, true}, {2, true, false}, {1, false, false}} {
-		schedule := probing.New(testConfig, begin, 1)
+		schedule := probing.New(testConfig, start, 1)
 		schedule.SetRouters(64)
-		now := begin
+		now := start
 		probe := func(reachable bool) {
 			now = now.Add(time.Second)
 			schedule.Probed(probing.Probe{At: now, Reachable: reachable, Silent: !reachable && test.silent, State: backendapi.StateReady})
