--- a/internal/routestats/bench_test.go
+++ b/internal/routestats/bench_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// BenchmarkRecord is what a report costs a request, with all routers' engines
-// recording at once.
+// BenchmarkRecord measures the cost of recording a request, with several engines
+// recording concurrently.
 func BenchmarkRecord(b *testing.B) {
 	recorder := NewRecorder(start)
 	routes := []string{"sweep", "pick", "feed", "send"}
@@ -20,8 +20,8 @@
 	})
 }
 
-// BenchmarkSum is what control or a relay does for one report upwards: 100
-// followers with 8 routes each.
+// BenchmarkSum measures the cost of one upstream report by a control node or a relay
+// with 100 followers of 8 routes each.
 func BenchmarkSum(b *testing.B) {
 	collection := NewCollection()
 	for node := range 100 {
--- a/internal/routestats/buckets.go
+++ b/internal/routestats/buckets.go
@@ -7,29 +7,30 @@
 	v1 "github.com/martenstage/martenstage/internal/gen/martenstage/v1"
 )
 
-// Buckets of latency: bucket b ends at shortest * 2^(b/perDoubling), so a
-// quantile is off by 9 % at most. The last one, at about 105 s, has no end.
+// Latency buckets: bucket b ends at firstBucketEnd * 2^(b/bucketsPerDoubling), so the
+// error of a quantile is at most 9 %. The last bucket, at about 105 s, has no upper
+// bound.
 const (
-	shortest    = 100 * time.Microsecond
-	perDoubling = 8
-	bucketCount = 20*perDoubling + 1
+	firstBucketEnd     = 100 * time.Microsecond
+	bucketsPerDoubling = 8
+	bucketCount        = 20*bucketsPerDoubling + 1
 )
 
 func bucketOf(latency time.Duration) int {
-	if latency <= shortest {
+	if latency <= firstBucketEnd {
 		return 0
 	}
-	exact := math.Log2(float64(latency)/float64(shortest)) * perDoubling
+	exact := math.Log2(float64(latency)/float64(firstBucketEnd)) * bucketsPerDoubling
 	return min(int(math.Ceil(exact)), bucketCount-1)
 }
 
-// bucketEnd is the longest latency in a bucket.
+// bucketEnd returns the upper bound of a bucket.
 func bucketEnd(bucket int) time.Duration {
-	return time.Duration(float64(shortest) * math.Exp2(float64(bucket)/perDoubling))
+	return time.Duration(float64(firstBucketEnd) * math.Exp2(float64(bucket)/bucketsPerDoubling))
 }
 
-// Quantile returns the latency that a share, in (0,1], of the counted requests
-// did not exceed, rounded up to the end of its bucket. It is 0 without any.
+// Quantile returns the latency that a share, in (0,1], of the counted requests did
+// not exceed, rounded up to the end of its bucket. It returns 0 if none are counted.
 func Quantile(report *v1.RouteReport, share float64) time.Duration {
 	var total uint64
 	for _, count := range report.GetLatency() {
@@ -38,19 +39,19 @@
 	if total == 0 {
 		return 0
 	}
-	wanted := uint64(math.Ceil(share * float64(total)))
+	rank := uint64(math.Ceil(share * float64(total)))
 	var seen uint64
 	for index, count := range report.GetLatency() {
 		seen += uint64(count)
-		if seen >= max(wanted, 1) {
+		if seen >= max(rank, 1) {
 			return bucketEnd(int(report.GetFirstBucket()) + index)
 		}
 	}
 	return bucketEnd(bucketCount - 1)
 }
 
-// Coverage returns the share of wanted shards that answers cover, in [0,1];
-// 1 when no answer was given.
+// Coverage returns the fraction of requested shards that the answers cover, in
+// [0,1]; 1 if there were no answers.
 func Coverage(report *v1.RouteReport) float64 {
 	if report.GetShardsWanted() == 0 {
 		return 1
--- a/internal/routestats/collection.go
+++ b/internal/routestats/collection.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// ReportInterval is how often a node reports upwards.
+	// ReportInterval is the interval at which a node reports upstream.
 	ReportInterval = 5 * time.Second
-	// lifetime is how long a report counts that no other took the place of.
-	lifetime = 3 * ReportInterval
-	// maxRoutes bounds the routes in one report. More are not counted.
+	// reportLifetime is how long a report counts if no newer one replaces it.
+	reportLifetime = 3 * ReportInterval
+	// maxRoutes is the maximum number of routes in a report. The rest are ignored.
 	maxRoutes = 10_000
 )
 
-// Collection holds the last reports of several nodes. Its owner's lock guards
-// it.
+// Collection holds the last reports of several nodes. It is not safe for concurrent
+// use; its owner must lock it.
 type Collection struct {
 	nodes map[string]nodeReports
 }
@@ -28,23 +28,23 @@
 	routes []*v1.RouteReport
 }
 
-// NewCollection returns a collection without reports.
+// NewCollection returns an empty collection.
 func NewCollection() *Collection { return &Collection{nodes: make(map[string]nodeReports)} }
 
-// Set takes the reports of a node in the place of its earlier ones.
+// Set replaces the reports of a node.
 func (c *Collection) Set(now time.Time, node string, routes []*v1.RouteReport) {
 	c.nodes[node] = nodeReports{at: now, routes: routes[:min(len(routes), maxRoutes)]}
 }
 
-// Remove forgets a node.
+// Remove drops the reports of a node.
 func (c *Collection) Remove(node string) { delete(c.nodes, node) }
 
-// Sum adds up the reports of all nodes that are not out of date, by route in
-// order of their names.
+// Sum adds up the current reports of all nodes by route, sorted by route name. It
+// drops nodes whose reports have expired.
 func (c *Collection) Sum(now time.Time) []*v1.RouteReport {
 	totals := make(map[string]*total)
 	for node, reported := range c.nodes {
-		if now.Sub(reported.at) > lifetime {
+		if now.Sub(reported.at) > reportLifetime {
 			delete(c.nodes, node)
 			continue
 		}
@@ -67,10 +67,10 @@
 	return reports
 }
 
-// total is the sum of several nodes' reports of one route.
+// total is the sum of the reports of one route.
 type total struct {
 	counts slot
-	// window is the longest of all.
+	// window is the longest window of the added reports.
 	window time.Duration
 }
 
--- a/internal/routestats/pace.go
+++ b/internal/routestats/pace.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Pace says when a node is to report upwards: every ReportInterval, and at once
-// to another upstream. It is for one goroutine.
+// Pace schedules a node's upstream reports: every ReportInterval, and immediately
+// after a change of the upstream. It is not safe for concurrent use.
 type Pace struct {
-	upstream string
-	at       time.Time
+	upstream   string
+	reportedAt time.Time
 }
 
-// Due says whether a call that is about to be sent to an upstream carries
-// reports, and takes it that it does.
+// Due reports whether the next call to an upstream must carry reports. If so, it
+// assumes that the call is sent.
 func (p *Pace) Due(now time.Time, upstream string) bool {
-	if upstream == p.upstream && now.Sub(p.at) < ReportInterval {
+	if upstream == p.upstream && now.Sub(p.reportedAt) < ReportInterval {
 		return false
 	}
-	p.upstream, p.at = upstream, now
+	p.upstream, p.reportedAt = upstream, now
 	return true
 }
--- a/internal/routestats/recorder.go
+++ b/internal/routestats/recorder.go
@@ -1,7 +1,7 @@
-// Package routestats counts what happened to requests, by route, over the last
-// minute, and adds up the counts of many routers. Latencies are counted in
-// buckets of equal ratio, so that quantiles of a fleet come from the sum of its
-// routers' counts and are off by a bucket's width at most.
+// Package routestats counts the outcomes of requests by route over the last minute
+// and adds up the counts of many routers. Latencies are counted in buckets of
+// exponentially growing width, so that quantiles over all routers can be computed
+// from the summed counts, with an error of at most one bucket.
 package routestats
 
 import (
@@ -15,31 +15,32 @@
 	v1 "github.com/martenstage/martenstage/internal/gen/martenstage/v1"
 )
 
-// The window of a report is made of slots; the oldest is dropped when a new
+// The sliding window of a report consists of slots; the oldest is dropped when a new
 // one begins.
 const (
 	slotDuration = 10 * time.Second
 	slotCount    = 6
 )
 
-// Sample is the end of one request.
+// Sample is the result of one request.
 type Sample struct {
 	Outcome Outcome
 	Latency time.Duration
-	// Complete and Late are those of the answer.
+	// Complete and Late are the properties of the answer.
 	Complete bool
 	Late     bool
-	// Covered and Wanted count shards of the answer.
+	// Covered and Wanted count the shards that the answer covers and that were
+	// requested.
 	Covered int
 	Wanted  int
 }
 
-// Outcome is how a request ended.
+// Outcome classifies the end of a request.
 type Outcome uint8
 
 // Outcomes.
 const (
-	// Answered requests got an answer, be it partial.
+	// Answered requests got an answer, complete or partial.
 	Answered Outcome = iota
 	// Refused requests were not run.
 	Refused
@@ -54,28 +55,28 @@
 	routes  map[string]*window
 }
 
-// NewRecorder returns a recorder that counts from now on.
+// NewRecorder returns an empty recorder whose window begins at now.
 func NewRecorder(now time.Time) *Recorder {
 	return &Recorder{started: now, routes: make(map[string]*window)}
 }
 
-// Record counts a request that ended now.
+// Record counts a request that ended at now.
 func (r *Recorder) Record(now time.Time, route string, sample Sample) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	counted, found := r.routes[route]
+	routeWindow, found := r.routes[route]
 	if !found {
-		counted = &window{}
-		r.routes[route] = counted
+		routeWindow = &window{}
+		r.routes[route] = routeWindow
 	}
-	counted.at(r.slotAt(now)).add(sample)
+	routeWindow.slotFor(r.slotAt(now)).add(sample)
 }
 
-// slotAt numbers the slots since the start.
+// slotAt returns the number of the slot of a time, counted from the start.
 func (r *Recorder) slotAt(now time.Time) int64 { return int64(now.Sub(r.started) / slotDuration) }
 
-// Reports returns the counts of the window, by route in order of their names.
-// Routes without a request in the window are left out.
+// Reports returns the counts of the window by route, sorted by route name. Routes
+// without a request in the window are left out.
 func (r *Recorder) Reports(now time.Time) []*v1.RouteReport {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -85,8 +86,8 @@
 		covered -= time.Duration(current-slotCount+1) * slotDuration
 	}
 	var reports []*v1.RouteReport
-	for route, counted := range r.routes {
-		total := counted.total(current)
+	for route, routeWindow := range r.routes {
+		total := routeWindow.total(current)
 		if total.requests() == 0 {
 			delete(r.routes, route)
 			continue
@@ -108,8 +109,8 @@
 	slots [slotCount]slot
 }
 
-// at returns the slot of a number, emptied if it held an earlier one.
-func (w *window) at(number int64) *slot {
+// slotFor returns the slot with a number, cleared if it held an earlier one.
+func (w *window) slotFor(number int64) *slot {
 	current := &w.slots[number%slotCount]
 	if current.number != number {
 		*current = slot{number: number}
@@ -117,7 +118,7 @@
 	return current
 }
 
-// total adds up the slots that are not older than the window.
+// total adds up the slots in the window.
 func (w *window) total(current int64) *slot {
 	total := &slot{}
 	for index := range w.slots {
@@ -128,7 +129,7 @@
 	return total
 }
 
-// slot counts the requests of one span of time.
+// slot counts the requests of one slotDuration.
 type slot struct {
 	number                    int64
 	answered, refused, failed uint64
@@ -173,7 +174,7 @@
 	}
 }
 
-// report returns the counts in wire form.
+// report returns the counts as a protobuf message.
 func (s *slot) report(route string) *v1.RouteReport {
 	first, latency := trim(s.latency[:])
 	return &v1.RouteReport{
@@ -183,7 +184,8 @@
 	}
 }
 
-// trim returns a copy without the empty buckets at both ends.
+// trim returns a copy without the empty buckets at both ends, and the index of the
+// first bucket kept.
 func trim(buckets []uint32) (first uint32, latency []uint32) {
 	begin := slices.IndexFunc(buckets, func(count uint32) bool { return count > 0 })
 	if begin < 0 {
--- a/internal/routestats/routestats_test.go
+++ b/internal/routestats/routestats_test.go
@@ -51,8 +51,8 @@
 	return whole
 }
 
-// TestWindowForgets checks that requests older than the window don't count,
-// also in slots that are used again.
+// TestWindowForgets checks that requests older than the window don't count, even
+// when their slots are reused.
 func TestWindowForgets(t *testing.T) {
 	recorder := NewRecorder(start)
 	for second := range 300 {
@@ -82,9 +82,9 @@
 	collection := NewCollection()
 	report := []*v1.RouteReport{{Route: "sweep", Answered: 1, FirstBucket: 1 << 31, Latency: []uint32{1}}}
 	collection.Set(start, "silent", report)
-	collection.Set(start.Add(lifetime), "left", report)
-	collection.Set(start.Add(lifetime), "live", report)
+	collection.Set(start.Add(reportLifetime), "left", report)
+	collection.Set(start.Add(reportLifetime), "live", report)
 	collection.Remove("left")
-	require.EqualValues(t, 2, collection.Sum(start.Add(lifetime))[0].GetAnswered())
-	require.EqualValues(t, 1, collection.Sum(start.Add(lifetime + 1))[0].GetAnswered())
+	require.EqualValues(t, 2, collection.Sum(start.Add(reportLifetime))[0].GetAnswered())
+	require.EqualValues(t, 1, collection.Sum(start.Add(reportLifetime + 1))[0].GetAnswered())
 }
