--- a/internal/isolation/isolation_test.go
+++ b/internal/isolation/isolation_test.go
@@ -14,15 +14,15 @@
 
 func TestOnlyAFailureAfterSilenceIsSuspected(t *testing.T) {
 	var detector isolation.Detector
-	require.True(t, detector.Suspects(origin), "nothing was heard ever")
+	require.True(t, detector.Suspects(origin), "no message was ever received")
 	detector.Heard(origin)
-	require.False(t, detector.Suspects(origin.Add(isolation.Quiet)))
-	require.True(t, detector.Suspects(origin.Add(isolation.Quiet+1)))
+	require.False(t, detector.Suspects(origin.Add(isolation.QuietTime)))
+	require.True(t, detector.Suspects(origin.Add(isolation.QuietTime+1)))
 	detector.Take(isolation.Round{Own: 1})
-	require.False(t, detector.Suspects(origin.Add(time.Hour)), "probes are on their way already")
+	require.False(t, detector.Suspects(origin.Add(time.Hour)), "probes are already in flight")
 }
 
-func TestRoundsInVainIsolateUntilAnotherZoneAnswers(t *testing.T) {
+func TestRoundsWithoutOtherZonesIsolateUntilOneAnswers(t *testing.T) {
 	var detector isolation.Detector
 	require.Equal(t, isolation.Uncertain, detector.Take(isolation.Round{Own: 2}))
 	require.Equal(t, isolation.Isolated, detector.Take(isolation.Round{Own: 1}))
@@ -31,8 +31,9 @@
 	require.Equal(t, isolation.Uncertain, detector.Take(isolation.Round{Own: 2}))
 }
 
-// TestRouterThatHearsNobodyIsNotIsolated: it may itself be frozen, slow or cut off alone.
-func TestRouterThatHearsNobodyIsNotIsolated(t *testing.T) {
+// TestRouterWithoutAnyAnswerIsNotIsolated checks rounds without any answer: the router may
+// itself be paused, slow or disconnected.
+func TestRouterWithoutAnyAnswerIsNotIsolated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var detector isolation.Detector
 		for range rapid.IntRange(1, 50).Draw(t, "rounds") {
