--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -16,7 +16,7 @@
 		limit := NewLimit(ceiling)
 		now := time.Unix(0, 0)
 		for _, action := range rapid.SliceOfN(rapid.IntRange(0, 3), 1, 100).Draw(t, "actions") {
-			now = now.Add(decreasePause / 2)
+			now = now.Add(decreaseInterval / 2)
 			switch action {
 			case 0:
 				limit.Lower(now)
@@ -39,21 +39,21 @@
 	share := Floor(2)
 	require.Equal(t, 3, share)
 	for range signs {
-		now = now.Add(decreasePause)
+		now = now.Add(decreaseInterval)
 		limit.LowerTo(now, share)
 	}
 	require.Equal(t, share, limit.Value())
 	for range signs {
-		now = now.Add(decreasePause)
+		now = now.Add(decreaseInterval)
 		limit.Lower(now)
 	}
 	require.Equal(t, 1, limit.Value())
-	now = now.Add(decreasePause)
+	now = now.Add(decreaseInterval)
 	limit.LowerTo(now, share)
-	require.Equal(t, 1, limit.Value(), "a floor raises nothing")
+	require.Equal(t, 1, limit.Value(), "a floor does not raise the limit")
 }
 
-func TestLowerClassesGiveWayFirst(t *testing.T) {
+func TestLowerClassesAreRefusedFirst(t *testing.T) {
 	gate := Gate{MaxInFlight: 100}
 	require.False(t, gate.Admits(plan.PriorityBatch, 75))
 	require.True(t, gate.Admits(plan.PriorityNormal, 75))
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -4,75 +4,74 @@
 
 const classes = int(plan.PriorityInteractive) + 1
 
-// Queue holds the attempts that wait for a place at a shard's replicas, the
-// highest priority class first and first in, first out within a class. Items
-// that are no longer wanted stay in the queue until they come up; Leave only
-// takes them out of the count.
+// Queue holds the attempts that wait for a shard's replicas, ordered by priority class,
+// highest first, and first in, first out within a class. Items that are no longer needed
+// stay in the queue until they are popped; Leave only removes them from the count.
 type Queue[T any] struct {
-	lines   [classes]line[T]
-	waiting [classes]int
+	fifos  [classes]fifo[T]
+	counts [classes]int
 }
 
-type line[T any] struct {
+type fifo[T any] struct {
 	items []T
 	head  int
 }
 
 // Push appends an item to its class.
 func (q *Queue[T]) Push(priority plan.Priority, item T) {
-	q.lines[priority].items = append(q.lines[priority].items, item)
-	q.waiting[priority]++
+	q.fifos[priority].items = append(q.fifos[priority].items, item)
+	q.counts[priority]++
 }
 
-// Pop takes out the first item, also one that has left. The caller calls Leave
-// for an item that has not.
+// Pop removes and returns the first item, even if Leave was already called for it. If it
+// was not, the caller must call Leave.
 func (q *Queue[T]) Pop() (T, bool) {
 	var none T
 	for class := classes - 1; class >= 0; class-- {
-		line := &q.lines[class]
-		if line.head == len(line.items) {
+		queued := &q.fifos[class]
+		if queued.head == len(queued.items) {
 			continue
 		}
-		item := line.items[line.head]
-		line.items[line.head] = none
-		line.head++
-		line.compact()
+		item := queued.items[queued.head]
+		queued.items[queued.head] = none
+		queued.head++
+		queued.compact()
 		return item, true
 	}
 	return none, false
 }
 
-// PushFront puts back an item that was popped and found no place.
+// PushFront puts back an item that was popped but could not be sent.
 func (q *Queue[T]) PushFront(priority plan.Priority, item T) {
-	line := &q.lines[priority]
-	if line.head == 0 {
-		line.items = append(line.items, item)
-		copy(line.items[1:], line.items)
-		line.items[0] = item
+	queued := &q.fifos[priority]
+	if queued.head == 0 {
+		queued.items = append(queued.items, item)
+		copy(queued.items[1:], queued.items)
+		queued.items[0] = item
 		return
 	}
-	line.head--
-	line.items[line.head] = item
+	queued.head--
+	queued.items[queued.head] = item
 }
 
-// Leave takes an item out of the count.
-func (q *Queue[T]) Leave(priority plan.Priority) { q.waiting[priority]-- }
+// Leave removes an item from the count.
+func (q *Queue[T]) Leave(priority plan.Priority) { q.counts[priority]-- }
 
-// Waiting returns the number of items that are still wanted.
+// Waiting returns the number of items that are still needed.
 func (q *Queue[T]) Waiting() int { return q.Ahead(0) }
 
-// Ahead returns how many items would be served before a new one of a class.
+// Ahead returns the number of items that would be served before a new one of a class.
 func (q *Queue[T]) Ahead(priority plan.Priority) int {
 	count := 0
 	for class := int(priority); class < classes; class++ {
-		count += q.waiting[class]
+		count += q.counts[class]
 	}
 	return count
 }
 
-// compact frees the space of served items once it is most of the line, so that
-// serving stays cheap on average and memory bounded by the waiting items.
-func (l *line[T]) compact() {
+// compact frees the space of popped items once they make up at least half of the slice,
+// so that Pop takes amortized constant time and memory is bounded by the waiting items.
+func (l *fifo[T]) compact() {
 	if l.head*2 < len(l.items) {
 		return
 	}
