--- a/internal/admissionrecord/admissionrecord.go
+++ b/internal/admissionrecord/admissionrecord.go
@@ -1,7 +1,7 @@
-// Package admissionrecord writes down under which configuration a router
-// admitted requests, so that the judge can tell whether an accepted one was in
-// force. A record sums up what a router admitted under one revision within a
-// second or so: how many requests, the first and the last moment.
+// Package admissionrecord records the configuration revision under which a router
+// admitted requests, so that the judge can check when an accepted revision took
+// effect. A record covers the requests that a router admitted under one revision
+// within about a second: their number and the times of the first and the last.
 package admissionrecord
 
 import (
@@ -19,59 +19,59 @@
 	"github.com/martenstage/martenstage/internal/records"
 )
 
-// interval is how often records are written. A process that is killed loses
-// those of the last interval.
-const interval = time.Second
+// writeInterval is the interval at which records are written. A process that is killed
+// loses the records of the last interval.
+const writeInterval = time.Second
 
-// Summary sums admissions up. It is safe for many goroutines.
+// Summary aggregates admissions. It is safe for concurrent use.
 type Summary struct {
 	node  string
 	mutex sync.Mutex
-	// spans holds the sums by revision; there is one, or two around a change.
-	spans map[uint64]records.Admission
+	// sums holds the totals by revision: one, or two around a configuration change.
+	sums map[uint64]records.Admission
 }
 
 // NewSummary returns the summary of a router.
 func NewSummary(node string) *Summary {
-	return &Summary{node: node, spans: map[uint64]records.Admission{}}
+	return &Summary{node: node, sums: map[uint64]records.Admission{}}
 }
 
-// Admitted notes that a request was admitted at a moment under a revision.
+// Admitted records that a request was admitted at a time under a revision.
 func (s *Summary) Admitted(at time.Time, revision uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	span, known := s.spans[revision]
+	sum, known := s.sums[revision]
 	if !known {
-		span = records.Admission{Node: s.node, At: at, Until: at, Revision: revision}
+		sum = records.Admission{Node: s.node, At: at, Until: at, Revision: revision}
 	}
-	span.Count++
-	if at.Before(span.At) {
-		span.At = at
+	sum.Count++
+	if at.Before(sum.At) {
+		sum.At = at
 	}
-	if at.After(span.Until) {
-		span.Until = at
+	if at.After(sum.Until) {
+		sum.Until = at
 	}
-	s.spans[revision] = span
+	s.sums[revision] = sum
 }
 
-// Take returns the records since the last call, by revision.
+// Take returns the records since the last call, sorted by revision.
 func (s *Summary) Take() []records.Admission {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	taken := lo.Values(s.spans)
-	clear(s.spans)
-	slices.SortFunc(taken, func(left, right records.Admission) int { return int(left.Revision) - int(right.Revision) })
-	return taken
+	admissions := lo.Values(s.sums)
+	clear(s.sums)
+	slices.SortFunc(admissions, func(left, right records.Admission) int { return int(left.Revision) - int(right.Revision) })
+	return admissions
 }
 
-// File appends the records of a router to a file.
+// File appends the admission records of a router to a file.
 type File struct {
 	*Summary
 	file   *os.File
 	logger logrus.FieldLogger
 }
 
-// Open opens a file of JSON lines to append to.
+// Open opens a file in JSON Lines format for appending.
 func Open(path, node string, logger logrus.FieldLogger) (*File, error) {
 	const mode = 0o644
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, mode)
@@ -81,30 +81,30 @@
 	return &File{Summary: NewSummary(node), file: file, logger: logger}, nil
 }
 
-// Run writes regularly until the context ends. Close writes the rest.
+// Run writes records periodically until the context is done. Close writes the rest.
 func (f *File) Run(ctx context.Context) {
-	ticker := time.NewTicker(interval)
+	ticker := time.NewTicker(writeInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			if err := f.write(); err != nil {
+			if err := f.writePending(); err != nil {
 				f.logger.WithError(err).Error("admissions not recorded")
 			}
 		}
 	}
 }
 
-// Close writes what is left and closes the file.
+// Close writes the remaining records and closes the file.
 func (f *File) Close() error {
-	return errors.CombineErrors(f.write(), errors.Wrap(f.file.Close(), "admission record"))
+	return errors.CombineErrors(f.writePending(), errors.Wrap(f.file.Close(), "admission record"))
 }
 
-// write writes whole lines at a time, so that a reader sees no torn one unless
-// the process is killed.
-func (f *File) write() error {
+// writePending writes complete lines in a single call, so that a reader sees no partial
+// line unless the process is killed.
+func (f *File) writePending() error {
 	var lines []byte
 	for _, record := range f.Take() {
 		line, err := json.Marshal(record)
--- a/internal/admissionrecord/admissionrecord_test.go
+++ b/internal/admissionrecord/admissionrecord_test.go
@@ -28,8 +28,8 @@
 	require.Empty(t, summary.Take())
 }
 
-// A router that starts again goes on with the file, and a planned stop leaves
-// nothing out.
+// TestFilesHoldWhatEveryRunAdmitted checks that a restarted router appends to its file, and
+// that a planned stop loses no records.
 func TestFilesHoldWhatEveryRunAdmitted(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, recordfile.PrefixAdmissions+"-1"+recordfile.Suffix)
