--- a/internal/control/author_test.go
+++ b/internal/control/author_test.go
@@ -18,8 +18,8 @@
 	"github.com/martenstage/martenstage/internal/rpc"
 )
 
-// issue signs keys and returns their files.
-func issue(t *testing.T, folder, name string, role keys.Role) keys.Files {
+// issueKeys issues a certificate and key and returns their files.
+func issueKeys(t *testing.T, folder, name string, role keys.Role) keys.Files {
 	require.NoError(t, keys.Issue(folder, keys.Request{
 		Name: name, Role: role, Lifetime: time.Hour, Addresses: []netip.Addr{testaddress.Host()},
 	}, time.Now()))
@@ -30,20 +30,20 @@
 	}
 }
 
-// TestAuthorIsAuthenticated submits changes with keys in use. Whatever the
-// program claims, the history names the holder of the certificate, also when a
-// voter passed the change on; and a router may not submit any.
+// TestAuthorIsAuthenticated submits changes with TLS keys in use. Whatever author
+// the request states, the history must name the holder of the certificate, also if
+// a voter forwarded the change. A router must not submit changes.
 func TestAuthorIsAuthenticated(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
 	require.NoError(t, keys.Init(folder, time.Now()))
 	cluster := newTestCluster(t, 3, func(options *Options) {
-		files := issue(t, folder, fmt.Sprintf("control-%d", options.ID), keys.RoleControl)
+		files := issueKeys(t, folder, fmt.Sprintf("control-%d", options.ID), keys.RoleControl)
 		options.Authority, options.Certificate, options.Key = files.Authority, files.Certificate, files.Key
 		options.InsecurePlaintext = false
 	})
 	clientOf := func(name string, role keys.Role, node *testNode) *Client {
-		security, err := rpc.NewSecurity(rpc.SecuritySettings{Files: issue(t, folder, name, role)}, logrus.New())
+		security, err := rpc.NewSecurity(rpc.SecuritySettings{Files: issueKeys(t, folder, name, role)}, logrus.New())
 		require.NoError(t, err)
 		client := rpc.NewClient(security, rpc.ClientConfig{ServerRoles: []keys.Role{keys.RoleControl}})
 		t.Cleanup(client.CloseIdle)
@@ -58,7 +58,8 @@
 		require.NoError(t, err)
 		require.Equal(t, fmt.Sprintf("malee-%d", revision), latest.GetAuthor())
 	}
-	// The leader hands over first, and its successor tells who asked.
+	// The leader transfers leadership first; its successor records who requested
+	// the removal.
 	leader = cluster.leader()
 	removed := leader.options.ID
 	voters, err := clientOf("malee-voters", keys.RoleOperator, leader).RemoveVoter(testContext(t), removed)
--- a/internal/control/change_bench_test.go
+++ b/internal/control/change_bench_test.go
@@ -15,8 +15,8 @@
 	"github.com/martenstage/martenstage/internal/state"
 )
 
-// siteText writes the configuration of a number of servers, 810 to a service.
-// One of them has moved a number of times.
+// siteText returns a configuration with a number of servers, 810 per service. The
+// address of one of them depends on moved.
 func siteText(servers, moved int) string {
 	const serversOfService, serversOfGroup, zones, movedServer = 810, 3, 26, 777
 	var text strings.Builder
@@ -46,20 +46,21 @@
 	return text.String()
 }
 
-// changer makes changes as a leader does and applies them as every voter does.
-type changer struct {
+// changeHarness encodes changes as a leader does and applies them as every voter
+// does.
+type changeHarness struct {
 	server *Server
 	number uint64
 }
 
-func newChanger(t require.TestingT, compile Compiler, format uint32) *changer {
-	made := &changer{server: &Server{store: NewStore(state.DefaultLimits(), plan.FromProto), compile: compile}}
-	made.apply(t, &v1.StateCommand{Body: &v1.StateCommand_Format{Format: &v1.FormatCommand{Format: format}}})
-	return made
+func newChangeHarness(t require.TestingT, compile Compiler, format uint32) *changeHarness {
+	harness := &changeHarness{server: &Server{store: NewStore(state.DefaultLimits(), plan.FromProto), compile: compile}}
+	harness.apply(t, &v1.StateCommand{Body: &v1.StateCommand_Format{Format: &v1.FormatCommand{Format: format}}})
+	return harness
 }
 
 // make compiles a text and encodes the change for the log.
-func (c *changer) make(t require.TestingT, text string) []byte {
+func (c *changeHarness) make(t require.TestingT, text string) []byte {
 	command := &v1.ChangeCommand{
 		ChangeId: fmt.Sprintf("change-%026d", c.number), ExpectedRevision: c.number,
 		RequestHash: state.ApplyHash(text, 0), Author: "malee",
@@ -74,18 +75,18 @@
 	return data
 }
 
-func (c *changer) apply(t require.TestingT, command *v1.StateCommand) {
+func (c *changeHarness) apply(t require.TestingT, command *v1.StateCommand) {
 	data, err := state.Encode(time.UnixMilli(1_700_000_000_000), command)
 	require.NoError(t, err)
 	_, err = c.server.store.Apply(data)
 	require.NoError(t, err)
 }
 
-// BenchmarkChange measures a change of one replica: what the leader does until
-// it proposes, what each voter does when it applies, and the bytes in the log;
-// as it was, each change whole, and as differences.
+// BenchmarkChange measures a change of one replica: the time on the leader until
+// it proposes, the time on each voter to apply it, and the bytes in the log, with
+// full texts and with deltas.
 func BenchmarkChange(b *testing.B) {
-	ways := []struct {
+	modes := []struct {
 		name    string
 		format  uint32
 		compile Compiler
@@ -94,15 +95,15 @@
 		{"differences", state.LatestFormat, policy.NewCompiler(compiledFileName).Compile},
 	}
 	for _, servers := range []int{6_333, 57_000} {
-		for _, way := range ways {
-			b.Run(fmt.Sprintf("%s-%d", way.name, servers), func(b *testing.B) {
-				benchmarkChange(b, newChanger(b, way.compile, way.format), servers)
+		for _, mode := range modes {
+			b.Run(fmt.Sprintf("%s-%d", mode.name, servers), func(b *testing.B) {
+				benchmarkChange(b, newChangeHarness(b, mode.compile, mode.format), servers)
 			})
 		}
 	}
 }
 
-func benchmarkChange(b *testing.B, changes *changer, servers int) {
+func benchmarkChange(b *testing.B, changes *changeHarness, servers int) {
 	texts := make([]string, 4)
 	for index := range texts {
 		texts[index] = siteText(servers, index)
@@ -111,24 +112,24 @@
 	require.NoError(b, err)
 	b.ReportAllocs()
 	b.ResetTimer()
-	leading, logged, used := time.Duration(0), 0, processorTime(b)
+	leaderTime, loggedBytes, cpuBefore := time.Duration(0), 0, cpuTime(b)
 	for number := 1; b.Loop(); number++ {
 		started := time.Now()
 		data := changes.make(b, texts[number%len(texts)])
-		leading += time.Since(started)
-		logged += len(data)
+		leaderTime += time.Since(started)
+		loggedBytes += len(data)
 		_, err := changes.server.store.Apply(data)
 		require.NoError(b, err)
 	}
-	b.ReportMetric(float64(leading.Microseconds())/float64(b.N), "leader-us/op")
-	b.ReportMetric(float64((b.Elapsed()-leading).Microseconds())/float64(b.N), "apply-us/op")
-	b.ReportMetric(float64(logged)/float64(b.N), "log-B/op")
-	b.ReportMetric(float64((processorTime(b)-used).Microseconds())/float64(b.N), "processor-us/op")
+	b.ReportMetric(float64(leaderTime.Microseconds())/float64(b.N), "leader-us/op")
+	b.ReportMetric(float64((b.Elapsed()-leaderTime).Microseconds())/float64(b.N), "apply-us/op")
+	b.ReportMetric(float64(loggedBytes)/float64(b.N), "log-B/op")
+	b.ReportMetric(float64((cpuTime(b)-cpuBefore).Microseconds())/float64(b.N), "processor-us/op")
 }
 
-// processorTime is what the process has used, the collection of garbage counted
-// in, and waiting for a processor of a busy machine not.
-func processorTime(b *testing.B) time.Duration {
+// cpuTime returns the CPU time of the process. It includes garbage collection, but
+// no time spent waiting for a CPU on a busy machine.
+func cpuTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &usage))
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
--- a/internal/control/change_encoding.go
+++ b/internal/control/change_encoding.go
@@ -13,8 +13,8 @@
 )
 
 // configurationCache holds the newest revision that this voter compiled, so that
-// the next change need not rebuild its text. The plan is the compiler's own, whose
-// parts the next plan shares, which makes comparing them cheap.
+// the next change need not rebuild its text. It keeps the compiler's own plan: the
+// next plan shares parts with it, which makes comparing the two cheap.
 type configurationCache struct {
 	mutex    sync.Mutex
 	revision uint64
@@ -35,54 +35,53 @@
 	return c.latest, c.revision == revision && revision != 0
 }
 
-// text returns the text of a revision, and whether it is kept. A text that can't
-// be rebuilt is an error of code DataLoss, which no other attempt would mend.
-func (s *Server) text(number uint64) (text string, kept bool, err error) {
+// revisionText returns the text of a revision and whether it is retained. A text
+// that can't be rebuilt gives an error with code DataLoss, since a retry can't
+// succeed.
+func (s *Server) revisionText(number uint64) (text string, kept bool, err error) {
 	if latest, cached := s.compiled.get(number); cached {
 		return latest.Text, true, nil
 	}
-	var whole []byte
+	var full []byte
 	var deltas [][]byte
-	s.store.read(func(machine *state.Machine) { whole, deltas, kept = machine.TextChain(number) })
+	s.store.read(func(machine *state.Machine) { full, deltas, kept = machine.TextChain(number) })
 	if !kept {
 		return "", false, nil
 	}
-	rebuilt, err := rebuildText(whole, deltas)
+	rebuilt, err := rebuildText(full, deltas)
 	if err != nil {
 		return "", true, refuse(connect.CodeDataLoss, "the text of revision %d can't be read on this voter: %v", number, err)
 	}
 	return string(rebuilt), true, nil
 }
 
-func rebuildText(whole []byte, deltas [][]byte) ([]byte, error) {
-	text, err := decompress(whole)
+func rebuildText(full []byte, deltas [][]byte) ([]byte, error) {
+	text, err := decompress(full)
 	if err != nil || len(deltas) == 0 {
 		return text, err
 	}
 	return textdelta.Rebuild(text, deltas)
 }
 
-// encodeChange puts text and plan into a change: as differences from the
-// revision that it is written against, or whole.
-//
-// Differences need no more than that revision on the voter that applies them.
-// The change is compared with the latest revision when it is applied, and a
-// revision of a number is the same one on every voter for good: commands are
-// applied in the order of the log, a leader reads only what is committed, and a
-// snapshot holds the whole chain that the latest revision is rebuilt from. So
-// neither a new leader, a log that was cut, nor an entry that is committed long
-// after it was proposed can meet another base.
+// encodeChange stores text and plan in a change, either as deltas against the
+// revision that the change expects or in full. A delta needs only that base
+// revision on the voter that applies it. The change is compared with the latest
+// revision when it is applied, and a revision number denotes the same revision on
+// every voter: commands are applied in log order, a leader reads only committed
+// state, and a snapshot holds the complete chain from which the latest revision is
+// rebuilt. A new leader, a truncated log or an entry committed long after it was
+// proposed therefore can't see a different base.
 func (s *Server) encodeChange(command *v1.ChangeCommand, next configdelta.Configuration) error {
 	revision, latest, _ := s.store.Latest()
 	expected := command.GetExpectedRevision()
 	if expected < revision {
-		// The latest revision only goes up, so the comparison refuses the change
-		// when it is applied, without a look at text or plan.
+		// The latest revision never decreases, so the change is rejected when it
+		// is applied, before its text or plan is read.
 		return nil
 	}
 	if expected == revision && revision != 0 {
-		fitting, err := s.encodeDeltas(command, latest, next)
-		if err != nil || fitting {
+		encoded, err := s.encodeDeltas(command, latest, next)
+		if err != nil || encoded {
 			return err
 		}
 	}
@@ -94,10 +93,10 @@
 	return err
 }
 
-// encodeDeltas puts text and plan into a change as differences from the revision
-// that it expects. It returns false when the history has no room for them or
-// they would not lead to the text and the plan.
-func (s *Server) encodeDeltas(command *v1.ChangeCommand, applied *plan.Plan, next configdelta.Configuration) (bool, error) {
+// encodeDeltas stores text and plan in a change as deltas against the expected
+// revision. It returns false if the history has no capacity for more deltas or the
+// deltas don't reproduce the text and the plan.
+func (s *Server) encodeDeltas(command *v1.ChangeCommand, basePlan *plan.Plan, next configdelta.Configuration) (bool, error) {
 	expected := command.GetExpectedRevision()
 	if !s.deltaFits(0, 0) {
 		return false, nil
@@ -105,12 +104,12 @@
 	base, kept := s.compiled.get(expected)
 	if !kept {
 		var err error
-		if base.Text, kept, err = s.text(expected); err != nil {
-			// The change goes whole, and the history has a sound text to build on.
+		if base.Text, kept, err = s.revisionText(expected); err != nil {
+			// The change is sent in full, so later deltas build on an undamaged text.
 			s.logger.WithError(err).Error("text_damaged")
 			return false, nil
 		}
-		base.Plan = applied
+		base.Plan = basePlan
 	}
 	if !kept {
 		return false, nil
@@ -123,21 +122,22 @@
 	return true, nil
 }
 
-// deltaFits asks the applied state. If another revision came first meanwhile,
-// the answer is about that one and does not matter: the change is refused.
+// deltaFits reports whether the applied state can take a delta of this size. If
+// another revision is accepted in the meantime, the result no longer matters,
+// since the change is then rejected.
 func (s *Server) deltaFits(textBytes, planBytes int) (fits bool) {
 	s.store.read(func(machine *state.Machine) { fits = machine.DeltaFits(textBytes, planBytes) })
 	return fits
 }
 
-// wholeLatest returns text and plan of the latest revision as a change holds
-// them whole.
-func wholeLatest(machine *state.Machine) (text, packed []byte, err error) {
-	whole, deltas, _ := machine.TextChain(machine.Latest().Number)
+// latestFull returns text and plan of the latest revision, compressed and in full,
+// as a change stores them.
+func latestFull(machine *state.Machine) (text, packed []byte, err error) {
+	full, deltas, _ := machine.TextChain(machine.Latest().Number)
 	if len(deltas) == 0 && len(machine.PlanDeltas()) == 0 {
-		return whole, machine.CompressedPlan(), nil
+		return full, machine.CompressedPlan(), nil
 	}
-	rebuilt, err := rebuildText(whole, deltas)
+	rebuilt, err := rebuildText(full, deltas)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/control/claim_batcher.go
+++ b/internal/control/claim_batcher.go
@@ -15,21 +15,21 @@
 	"github.com/martenstage/martenstage/internal/voter"
 )
 
-// Bounds of claim commits.
+// Limits of claim commits.
 const (
-	// claimRing is how many claims may wait; further ones are refused, and
-	// nothing of them is recorded.
-	claimRing = 8192
-	// defaultClaimBatch is how many claims one commit holds at most.
+	// claimQueueCapacity is how many claims may wait. Further claims are rejected
+	// and nothing is recorded for them.
+	claimQueueCapacity = 8192
+	// defaultClaimBatch is the maximum number of claims in one commit.
 	defaultClaimBatch = 512
-	// claimCommitTimeout bounds one commit. Its outcome is unknown after that.
+	// claimCommitTimeout bounds one commit. After it, the outcome is unknown.
 	claimCommitTimeout = 5 * time.Second
 )
 
-// pendingClaim waits for the commit of its batch.
+// pendingClaim is a claim that waits for the commit of its batch.
 type pendingClaim struct {
 	operation *v1.ClaimOperation
-	done      chan claimOutcome // holds one
+	done      chan claimOutcome // buffered, one outcome
 }
 
 type claimOutcome struct {
@@ -37,25 +37,25 @@
 	err    error
 }
 
-// claimBatcher commits claims in groups: while one commit is being replicated
-// and synced, the claims that arrive gather for the next one. So the batches
-// grow with the load, and a lone claim waits for nobody.
+// claimBatcher commits claims in batches (group commit): claims that arrive while
+// a commit is replicated and synced go into the next one. Batches grow with the
+// load, and a single claim is committed without delay.
 type claimBatcher struct {
-	waiting *ring.Ring[*pendingClaim]
-	most    int
-	propose func(context.Context, *v1.StateCommand) (state.Result, error)
-	sizes   prometheus.Histogram
+	queue      *ring.Ring[*pendingClaim]
+	maxBatch   int
+	propose    func(context.Context, *v1.StateCommand) (state.Result, error)
+	batchSizes prometheus.Histogram
 }
 
 func newClaimBatcher(
-	most int, propose func(context.Context, *v1.StateCommand) (state.Result, error), registerer prometheus.Registerer,
+	maxBatch int, propose func(context.Context, *v1.StateCommand) (state.Result, error), registerer prometheus.Registerer,
 ) *claimBatcher {
 	const smallest, factor, buckets = 1, 2, 11
 	batcher := &claimBatcher{
-		waiting: ring.New[*pendingClaim](claimRing),
-		most:    most,
-		propose: propose,
-		sizes: prometheus.NewHistogram(prometheus.HistogramOpts{
+		queue:    ring.New[*pendingClaim](claimQueueCapacity),
+		maxBatch: maxBatch,
+		propose:  propose,
+		batchSizes: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "martenstage_claim_batch_claims",
 			Help:    "Claims and settlements per commit.",
 			Buckets: prometheus.ExponentialBuckets(smallest, factor, buckets),
@@ -64,16 +64,16 @@
 	depth := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "martenstage_claims_waiting",
 		Help: "Claims and settlements that wait for a commit.",
-	}, func() float64 { return float64(batcher.waiting.Depth()) })
-	registerer.MustRegister(batcher.sizes, depth)
+	}, func() float64 { return float64(batcher.queue.Depth()) })
+	registerer.MustRegister(batcher.batchSizes, depth)
 	return batcher
 }
 
-// submit commits one operation and returns its result. When the context ends
-// first, the operation may be committed all the same.
+// submit commits one operation and returns its result. If the context ends first,
+// the operation may still be committed.
 func (b *claimBatcher) submit(ctx context.Context, operation *v1.ClaimOperation) (state.ClaimResult, error) {
 	pending := &pendingClaim{operation: operation, done: make(chan claimOutcome, 1)}
-	if !b.waiting.TryPush(pending) {
+	if !b.queue.TryPush(pending) {
 		return 0, refuse(connect.CodeResourceExhausted, "too many claims are waiting; nothing was recorded")
 	}
 	select {
@@ -90,18 +90,18 @@
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-b.waiting.Items():
+		case first := <-b.queue.Items():
 			b.commit(ctx, b.gather(first))
 		}
 	}
 }
 
-// gather takes what is waiting, without waiting for more.
+// gather collects the claims that are already queued, without waiting for more.
 func (b *claimBatcher) gather(first *pendingClaim) []*pendingClaim {
 	batch := []*pendingClaim{first}
-	for len(batch) < b.most {
+	for len(batch) < b.maxBatch {
 		select {
-		case next := <-b.waiting.Items():
+		case next := <-b.queue.Items():
 			batch = append(batch, next)
 		default:
 			return batch
@@ -113,7 +113,7 @@
 func (b *claimBatcher) commit(ctx context.Context, batch []*pendingClaim) {
 	ctx, cancel := context.WithTimeout(ctx, claimCommitTimeout)
 	defer cancel()
-	b.sizes.Observe(float64(len(batch)))
+	b.batchSizes.Observe(float64(len(batch)))
 	operations := lo.Map(batch, func(pending *pendingClaim, _ int) *v1.ClaimOperation { return pending.operation })
 	result, err := b.propose(ctx, &v1.StateCommand{Body: &v1.StateCommand_Claims{Claims: &v1.ClaimBatch{Operations: operations}}})
 	for index, pending := range batch {
--- a/internal/control/claim_bench_test.go
+++ b/internal/control/claim_bench_test.go
@@ -13,8 +13,8 @@
 	v1 "github.com/martenstage/martenstage/internal/gen/martenstage/v1"
 )
 
-// BenchmarkClaims measures claims on three voters by the most claims that one
-// commit may hold. 256 callers claim at the leader, each one claim at a time.
+// BenchmarkClaims measures claims on three voters for several maximum batch sizes.
+// 256 callers claim at the leader, each with one claim in flight.
 func BenchmarkClaims(b *testing.B) {
 	const callers = 256
 	for _, batch := range []int{1, 4, 16, 64, 256, 512} {
--- a/internal/control/claim_service.go
+++ b/internal/control/claim_service.go
@@ -12,10 +12,10 @@
 // claimService implements ClaimService.
 type claimService struct{ server *Server }
 
-// Claim decides whether a request that must run at most once may be
-// dispatched. An error means that no claim was granted to this call; after
-// Aborted, DeadlineExceeded or a broken connection it may be held all the
-// same, and sending the same call again gets the answer.
+// Claim decides whether a request that must run at most once may be dispatched. An
+// error means that this call was not granted a claim. After Aborted,
+// DeadlineExceeded or a broken connection the claim may still be held; resending
+// the same call returns its result.
 func (s claimService) Claim(
 	ctx context.Context, request *connect.Request[v1.ClaimRequest],
 ) (*connect.Response[v1.ClaimResponse], error) {
@@ -24,7 +24,7 @@
 	}
 	call := leaderCall[v1.ClaimRequest, v1.ClaimResponse]{
 		local: s.claim,
-		remote: func(leader peers, ctx context.Context, request *connect.Request[v1.ClaimRequest]) (*connect.Response[v1.ClaimResponse], error) {
+		remote: func(leader voterClients, ctx context.Context, request *connect.Request[v1.ClaimRequest]) (*connect.Response[v1.ClaimResponse], error) {
 			return leader.claims.Claim(ctx, request)
 		},
 	}
@@ -80,7 +80,7 @@
 	case state.ClaimDigestMismatch:
 		return &v1.ClaimResponse{Result: v1.ClaimResult_CLAIM_RESULT_DIGEST_MISMATCH}, nil
 	default:
-		return nil, refuse(connect.CodeResourceExhausted, "no more claims can be remembered; nothing was recorded")
+		return nil, refuse(connect.CodeResourceExhausted, "the claim table is full; nothing was recorded")
 	}
 }
 
@@ -93,7 +93,7 @@
 	}
 	call := leaderCall[v1.SettleClaimRequest, v1.SettleClaimResponse]{
 		local: s.settle,
-		remote: func(leader peers, ctx context.Context, request *connect.Request[v1.SettleClaimRequest]) (*connect.Response[v1.SettleClaimResponse], error) {
+		remote: func(leader voterClients, ctx context.Context, request *connect.Request[v1.SettleClaimRequest]) (*connect.Response[v1.SettleClaimResponse], error) {
 			return leader.claims.SettleClaim(ctx, request)
 		},
 	}
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -16,84 +16,86 @@
 	"github.com/martenstage/martenstage/internal/wait"
 )
 
-// Times of the client.
+// Timeouts and retry delays of the client.
 const (
-	// attemptTimeout bounds one call to one voter. It covers an election.
+	// attemptTimeout bounds one call to one voter. It is long enough for an
+	// election.
 	attemptTimeout = 5 * time.Second
-	// firstPause and longestPause lie between rounds over all addresses.
-	firstPause   = 50 * time.Millisecond
-	longestPause = 250 * time.Millisecond
+	// initialBackoff and maxBackoff bound the delay between rounds over all
+	// addresses.
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 250 * time.Millisecond
 )
 
-// ErrUnavailable says that no voter gave a definite answer in time. What was
-// asked had no effect, or was a read.
+// ErrUnavailable means that no voter gave a definite answer in time. The request
+// had no effect, or was a read.
 var ErrUnavailable = errors.New("no control voter with a quorum answered")
 
-// Client calls the services of control for operators' programs. It tries the
-// given voters in turn, and again until its context ends, so a change of
-// leader or a lost answer is not an error. Writes carry an id that the servers
-// recognize when they are resent.
+// Client calls the control services for operators' programs. It tries the given
+// voters in turn and retries until its context ends, so a leader change or a lost
+// answer is not an error. Writes carry an id by which the servers recognize
+// retries.
 type Client struct {
-	voters []peers
+	voters []voterClients
 	next   int
-	// waiting is told after each round without a definite answer; nil for nobody.
-	waiting func(why string)
+	// onRetry is called after each round without a definite answer; may be nil.
+	onRetry func(why string)
 }
 
-// NewClient returns a client of the voters at the addresses, of which there
-// must be one at least.
+// NewClient returns a client of the voters at the addresses. At least one address
+// is required.
 func NewClient(addresses []string, client *rpc.Client) *Client {
-	voters := lo.Map(addresses, func(address string, _ int) peers { return newPeers(client, address) })
+	voters := lo.Map(addresses, func(address string, _ int) voterClients { return newVoterClients(client, address) })
 	return &Client{voters: voters}
 }
 
-// OnWaiting sets a function that is called after each round over all voters that
-// gave no definite answer, with what each of them said.
-func (c *Client) OnWaiting(waiting func(why string)) { c.waiting = waiting }
+// OnWaiting sets a function that is called after each round over all voters
+// without a definite answer, with the last error of each voter.
+func (c *Client) OnWaiting(onRetry func(why string)) { c.onRetry = onRetry }
 
-// Apply submits a configuration and resends it under the same change id until
-// an answer is definite. voter.ErrOutcomeUnknown means that the time ran out with a
-// copy on its way: it may be accepted, and only the same change id will tell.
+// Apply submits a configuration and resends it under the same change id until it
+// gets a definite answer. voter.ErrOutcomeUnknown means that the context ended
+// while a copy may still take effect: only a retry with the same change id can
+// find the result.
 func (c *Client) Apply(ctx context.Context, request *v1.ApplyRequest) (*v1.ApplyResponse, error) {
-	return write(ctx, c, request, func(to peers, ctx context.Context, request *connect.Request[v1.ApplyRequest]) (*connect.Response[v1.ApplyResponse], error) {
+	return write(ctx, c, request, func(to voterClients, ctx context.Context, request *connect.Request[v1.ApplyRequest]) (*connect.Response[v1.ApplyResponse], error) {
 		return to.config.Apply(ctx, request)
 	})
 }
 
-// SetDrain marks a back end as leaving or removes the mark, with the resends
-// of Apply.
+// SetDrain sets or clears the drain mark of a back end, with the retries of Apply.
 func (c *Client) SetDrain(ctx context.Context, request *v1.SetDrainRequest) error {
-	_, err := write(ctx, c, request, func(to peers, ctx context.Context, request *connect.Request[v1.SetDrainRequest]) (*connect.Response[v1.SetDrainResponse], error) {
+	_, err := write(ctx, c, request, func(to voterClients, ctx context.Context, request *connect.Request[v1.SetDrainRequest]) (*connect.Response[v1.SetDrainResponse], error) {
 		return to.config.SetDrain(ctx, request)
 	})
 	return err
 }
 
-// Get returns a revision; 0 asks for the latest.
+// Get returns a revision; 0 means the latest.
 func (c *Client) Get(ctx context.Context, revision uint64) (*v1.Revision, error) {
-	response, err := read(ctx, c, &v1.GetRequest{Revision: revision}, func(to peers, ctx context.Context, request *connect.Request[v1.GetRequest]) (*connect.Response[v1.GetResponse], error) {
+	response, err := read(ctx, c, &v1.GetRequest{Revision: revision}, func(to voterClients, ctx context.Context, request *connect.Request[v1.GetRequest]) (*connect.Response[v1.GetResponse], error) {
 		return to.config.Get(ctx, request)
 	})
 	return response.GetRevision(), err
 }
 
-// History lists the newest revisions first, without texts.
+// History lists revisions without their texts, newest first.
 func (c *Client) History(ctx context.Context, limit uint32) ([]*v1.Revision, error) {
-	response, err := read(ctx, c, &v1.HistoryRequest{Limit: limit}, func(to peers, ctx context.Context, request *connect.Request[v1.HistoryRequest]) (*connect.Response[v1.HistoryResponse], error) {
+	response, err := read(ctx, c, &v1.HistoryRequest{Limit: limit}, func(to voterClients, ctx context.Context, request *connect.Request[v1.HistoryRequest]) (*connect.Response[v1.HistoryResponse], error) {
 		return to.config.History(ctx, request)
 	})
 	return response.GetRevisions(), err
 }
 
-// Status returns the confirmed leader's view of the group.
+// Status returns the group's status as seen by the confirmed leader.
 func (c *Client) Status(ctx context.Context) (*v1.StatusResponse, error) {
-	return read(ctx, c, &v1.StatusRequest{}, func(to peers, ctx context.Context, request *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error) {
+	return read(ctx, c, &v1.StatusRequest{}, func(to voterClients, ctx context.Context, request *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error) {
 		return to.config.Status(ctx, request)
 	})
 }
 
-// LocalStatuses returns each reachable voter's own, unconfirmed view, for use
-// while there is no quorum. The voters that don't answer are left out.
+// LocalStatuses returns the local, unconfirmed view of each reachable voter, for
+// use while there is no quorum. Voters that don't answer are omitted.
 func (c *Client) LocalStatuses(ctx context.Context) []*v1.StatusResponse {
 	var statuses []*v1.StatusResponse
 	for _, voter := range c.voters {
@@ -109,91 +111,93 @@
 
 // ListVoters lists voters and learners.
 func (c *Client) ListVoters(ctx context.Context) ([]*v1.Voter, error) {
-	response, err := read(ctx, c, &v1.ListVotersRequest{}, func(to peers, ctx context.Context, request *connect.Request[v1.ListVotersRequest]) (*connect.Response[v1.VotersResponse], error) {
+	response, err := read(ctx, c, &v1.ListVotersRequest{}, func(to voterClients, ctx context.Context, request *connect.Request[v1.ListVotersRequest]) (*connect.Response[v1.VotersResponse], error) {
 		return to.config.ListVoters(ctx, request)
 	})
 	return response.GetVoters(), err
 }
 
-// AddVoter adds a voter. Adding one that is there already is a success.
+// AddVoter adds a voter. Adding a voter that is already a member succeeds.
 func (c *Client) AddVoter(ctx context.Context, id uint64, address string) ([]*v1.Voter, error) {
-	response, err := write(ctx, c, &v1.AddVoterRequest{Id: id, Address: address}, func(to peers, ctx context.Context, request *connect.Request[v1.AddVoterRequest]) (*connect.Response[v1.VotersResponse], error) {
+	response, err := write(ctx, c, &v1.AddVoterRequest{Id: id, Address: address}, func(to voterClients, ctx context.Context, request *connect.Request[v1.AddVoterRequest]) (*connect.Response[v1.VotersResponse], error) {
 		return to.config.AddVoter(ctx, request)
 	})
 	return response.GetVoters(), err
 }
 
-// RemoveVoter removes a voter. Removing one that is gone is a success.
+// RemoveVoter removes a voter. Removing a voter that is no longer a member
+// succeeds.
 func (c *Client) RemoveVoter(ctx context.Context, id uint64) ([]*v1.Voter, error) {
-	response, err := write(ctx, c, &v1.RemoveVoterRequest{Id: id}, func(to peers, ctx context.Context, request *connect.Request[v1.RemoveVoterRequest]) (*connect.Response[v1.VotersResponse], error) {
+	response, err := write(ctx, c, &v1.RemoveVoterRequest{Id: id}, func(to voterClients, ctx context.Context, request *connect.Request[v1.RemoveVoterRequest]) (*connect.Response[v1.VotersResponse], error) {
 		return to.config.RemoveVoter(ctx, request)
 	})
 	return response.GetVoters(), err
 }
 
-// TransferLeadership hands leadership to a voter, or to any when to is 0.
+// TransferLeadership transfers leadership to a voter, or to any other voter if to
+// is 0.
 func (c *Client) TransferLeadership(ctx context.Context, to uint64) error {
-	_, err := write(ctx, c, &v1.TransferLeadershipRequest{To: to}, func(to peers, ctx context.Context, request *connect.Request[v1.TransferLeadershipRequest]) (*connect.Response[v1.TransferLeadershipResponse], error) {
+	_, err := write(ctx, c, &v1.TransferLeadershipRequest{To: to}, func(to voterClients, ctx context.Context, request *connect.Request[v1.TransferLeadershipRequest]) (*connect.Response[v1.TransferLeadershipResponse], error) {
 		return to.config.TransferLeadership(ctx, request)
 	})
 	return err
 }
 
-// Events lists the newest events that match, oldest first.
+// Events lists the newest matching events, oldest first.
 func (c *Client) Events(ctx context.Context, request *v1.ListEventsRequest) (*v1.ListEventsResponse, error) {
-	return read(ctx, c, request, func(to peers, ctx context.Context, request *connect.Request[v1.ListEventsRequest]) (*connect.Response[v1.ListEventsResponse], error) {
+	return read(ctx, c, request, func(to voterClients, ctx context.Context, request *connect.Request[v1.ListEventsRequest]) (*connect.Response[v1.ListEventsResponse], error) {
 		return to.events.List(ctx, request)
 	})
 }
 
 func read[Request, Response any](ctx context.Context, client *Client, request *Request, call remoteCall[Request, Response]) (*Response, error) {
-	response, _, err := untilDefinite(ctx, client, request, call)
+	response, _, err := callUntilDefinite(ctx, client, request, call)
 	return response, err
 }
 
-// write is like read, but tells a request that surely had no effect from one
-// that may have.
+// write is like read, but marks the error with voter.ErrOutcomeUnknown if the
+// request may have had an effect.
 func write[Request, Response any](ctx context.Context, client *Client, request *Request, call remoteCall[Request, Response]) (*Response, error) {
-	response, doubtful, err := untilDefinite(ctx, client, request, call)
-	if err != nil && doubtful {
+	response, outcomeUnknown, err := callUntilDefinite(ctx, client, request, call)
+	if err != nil && outcomeUnknown {
 		return nil, errors.Mark(err, voter.ErrOutcomeUnknown)
 	}
 	return response, err
 }
 
-// untilDefinite calls the voters in turn until one gives a definite answer or
-// the context ends. Doubtful says that some copy of the request may take
-// effect later.
-func untilDefinite[Request, Response any](
+// callUntilDefinite calls the voters in turn until one gives a definite answer or
+// the context ends. outcomeUnknown reports that a copy of the request may still
+// take effect.
+func callUntilDefinite[Request, Response any](
 	ctx context.Context, client *Client, request *Request, call remoteCall[Request, Response],
-) (response *Response, doubtful bool, err error) {
-	pause := firstPause
-	said := make(failures, len(client.voters))
+) (response *Response, outcomeUnknown bool, err error) {
+	backoff := initialBackoff
+	lastErrors := make(voterErrors, len(client.voters))
 	for attempt := 1; ; attempt++ {
 		response, err := attemptOnce(ctx, client, request, call)
 		if err == nil || isDefinite(err) {
 			return response, false, definite(err)
 		}
-		doubtful = doubtful || !hadNoEffect(err)
-		said.note(client.next%len(client.voters), err, ctx.Err() != nil)
+		outcomeUnknown = outcomeUnknown || !hadNoEffect(err)
+		lastErrors.record(client.next%len(client.voters), err, ctx.Err() != nil)
 		client.next++
 		if attempt%len(client.voters) != 0 {
 			continue
 		}
-		if said.allCertificates() {
-			return nil, doubtful, errors.Mark(errors.Newf("%v: %s", ErrCertificate, said.describe(client.voters)), ErrCertificate)
+		if lastErrors.allCertificateErrors() {
+			return nil, outcomeUnknown, errors.Mark(errors.Newf("%v: %s", ErrCertificate, lastErrors.describe(client.voters)), ErrCertificate)
 		}
-		client.tell(said)
-		if !wait.For(ctx, jitter(pause)) {
-			return nil, doubtful, errors.Mark(errors.Newf("%v: %s", ErrUnavailable, said.describe(client.voters)), ErrUnavailable)
+		client.notifyRetry(lastErrors)
+		if !wait.For(ctx, jitter(backoff)) {
+			return nil, outcomeUnknown, errors.Mark(errors.Newf("%v: %s", ErrUnavailable, lastErrors.describe(client.voters)), ErrUnavailable)
 		}
-		pause = min(2*pause, longestPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-func (c *Client) tell(said failures) {
-	if c.waiting != nil {
-		c.waiting(said.describe(c.voters))
+func (c *Client) notifyRetry(lastErrors voterErrors) {
+	if c.onRetry != nil {
+		c.onRetry(lastErrors.describe(c.voters))
 	}
 }
 
@@ -209,8 +213,7 @@
 	return response.Msg, nil
 }
 
-// isDefinite reports whether an error is an answer that another attempt would
-// get again.
+// isDefinite reports whether an error is an answer that a retry would get again.
 func isDefinite(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeInvalidArgument, connect.CodeNotFound, connect.CodeAlreadyExists, connect.CodeFailedPrecondition,
@@ -221,26 +224,26 @@
 	}
 }
 
-// hadNoEffect reports whether a failed attempt surely changed nothing: a voter
-// said so, or no connection came about.
+// hadNoEffect reports whether a failed attempt certainly changed nothing: a voter
+// reported so, or no connection was established.
 func hadNoEffect(err error) bool {
 	return neverSent(err) || isCertificateError(err) || connect.IsWireError(err) && connect.CodeOf(err) != connect.CodeAborted
 }
 
-// neverSent reports whether no connection came about.
+// neverSent reports whether no connection was established.
 func neverSent(err error) bool {
 	var network *net.OpError
 	return errors.As(err, &network) && network.Op == "dial"
 }
 
-// answerError is a definite answer that is an error. It reads without the
-// transport's wording.
+// answerError is a definite answer that is an error. Its text omits the
+// transport's prefix.
 type answerError struct{ cause *connect.Error }
 
-// Error returns the server's words.
+// Error returns the server's message.
 func (e answerError) Error() string { return e.cause.Message() }
 
-// Unwrap returns the error with its code.
+// Unwrap returns the error with its status code.
 func (e answerError) Unwrap() error { return e.cause }
 
 func definite(err error) error {
@@ -251,4 +254,4 @@
 	return err
 }
 
-func jitter(pause time.Duration) time.Duration { return pause/2 + rand.N(pause) }
+func jitter(backoff time.Duration) time.Duration { return backoff/2 + rand.N(backoff) }
--- a/internal/control/client_errors.go
+++ b/internal/control/client_errors.go
@@ -12,26 +12,28 @@
 	"github.com/martenstage/martenstage/internal/rpc"
 )
 
-// ErrCertificate says that no voter's certificate was accepted, or that none
-// accepted the caller's. Waiting does not help, and what was asked had no effect.
+// ErrCertificate means that no voter's certificate was accepted, or that no voter
+// accepted the caller's. A retry does not help, and the request had no effect.
 var ErrCertificate = errors.New("no control voter could be trusted")
 
-// failures are the last errors of a call by the index of the voter, nil for one
-// that was not asked yet.
-type failures []error
+// voterErrors holds the last error of each voter by index; nil for a voter that
+// has not been called.
+type voterErrors []error
 
-// note keeps what a voter said last. An attempt that was cut off, since the whole
-// call's time was over, says nothing about the voter: it replaces no earlier word.
-func (f failures) note(index int, err error, cutOff bool) {
-	if cutOff && f[index] != nil {
+// record stores a voter's last error. An attempt that was canceled because the
+// whole call's context ended says nothing about the voter, so it does not replace
+// an earlier error.
+func (e voterErrors) record(index int, err error, contextEnded bool) {
+	if contextEnded && e[index] != nil {
 		return
 	}
-	f[index] = err
+	e[index] = err
 }
 
-// allCertificates reports whether every voter was asked and none was trusted.
-func (f failures) allCertificates() bool {
-	for _, err := range f {
+// allCertificateErrors reports whether every voter was called and each call failed
+// on a certificate.
+func (e voterErrors) allCertificateErrors() bool {
+	for _, err := range e {
 		if err == nil || !isCertificateError(err) {
 			return false
 		}
@@ -39,34 +41,34 @@
 	return true
 }
 
-// describe names each voter with what it said last.
-func (f failures) describe(voters []peers) string {
+// describe lists each voter's address with its last error.
+func (e voterErrors) describe(voters []voterClients) string {
 	var texts []string
-	for index, err := range f {
+	for index, err := range e {
 		if err != nil {
-			texts = append(texts, voters[index].address+": "+reasonOf(err))
+			texts = append(texts, voters[index].address+": "+describeError(err))
 		}
 	}
 	return strings.Join(texts, "; ")
 }
 
-// remoteAlert is the operation of the network error by which crypto/tls reports
-// an alert of the other side.
-const remoteAlert = "remote error"
+// remoteAlertOp is the Op of the net.OpError by which crypto/tls reports an alert
+// sent by the peer.
+const remoteAlertOp = "remote error"
 
-// isCertificateError reports whether one side does not trust the other's
-// certificate.
+// isCertificateError reports whether one side rejected the other's certificate.
 func isCertificateError(err error) bool {
 	var unverified *tls.CertificateVerificationError
 	if errors.As(err, &unverified) || errors.Is(err, rpc.ErrWrongRole) || errors.Is(err, keys.ErrNoIdentity) {
 		return true
 	}
 	var network *net.OpError
-	return errors.As(err, &network) && network.Op == remoteAlert && strings.Contains(network.Err.Error(), "certificate")
+	return errors.As(err, &network) && network.Op == remoteAlertOp && strings.Contains(network.Err.Error(), "certificate")
 }
 
-// reasonOf returns the innermost words that help, without the transport's.
-func reasonOf(err error) string {
+// describeError returns the innermost useful message, without the transport's
+// wrapping.
+func describeError(err error) string {
 	var unverified *tls.CertificateVerificationError
 	if errors.As(err, &unverified) {
 		return "its certificate is not of this site (" + unverified.Err.Error() + ")"
@@ -76,7 +78,7 @@
 	}
 	var network *net.OpError
 	if errors.As(err, &network) {
-		if network.Op == remoteAlert {
+		if network.Op == remoteAlertOp {
 			return "it refuses this program's certificate (" + network.Err.Error() + ")"
 		}
 		return network.Err.Error()
--- a/internal/control/client_errors_test.go
+++ b/internal/control/client_errors_test.go
@@ -18,8 +18,8 @@
 	"github.com/martenstage/martenstage/internal/voter"
 )
 
-// TestForeignKeysAreReportedAtOnce calls voters with keys of another site, which
-// either side may be the one to refuse. The call must not wait for its context.
+// TestForeignKeysAreReportedAtOnce calls voters with keys of another site. Either
+// side may reject them, and the call must fail before its context ends.
 func TestForeignKeysAreReportedAtOnce(t *testing.T) {
 	t.Parallel()
 	site, foreign := t.TempDir(), t.TempDir()
@@ -27,7 +27,7 @@
 		require.NoError(t, keys.Init(folder, time.Now()))
 	}
 	cluster := newTestCluster(t, 3, func(options *Options) {
-		files := issue(t, site, fmt.Sprintf("control-%d", options.ID), keys.RoleControl)
+		files := issueKeys(t, site, fmt.Sprintf("control-%d", options.ID), keys.RoleControl)
 		options.Authority, options.Certificate, options.Key = files.Authority, files.Certificate, files.Key
 		options.InsecurePlaintext = false
 	})
@@ -36,28 +36,28 @@
 	for _, node := range cluster.nodes {
 		addresses = append(addresses, node.options.Listen)
 	}
-	stranger := issue(t, foreign, "stranger", keys.RoleOperator)
-	both := stranger
-	both.Authority = filepath.Join(foreign, "both.crt")
+	foreignKeys := issueKeys(t, foreign, "stranger", keys.RoleOperator)
+	bothAuthorities := foreignKeys
+	bothAuthorities.Authority = filepath.Join(foreign, "both.crt")
 	var authorities []byte
 	for _, folder := range []string{site, foreign} {
 		authority, err := os.ReadFile(filepath.Join(folder, keys.AuthorityCertificateFile))
 		require.NoError(t, err)
 		authorities = append(authorities, authority...)
 	}
-	require.NoError(t, os.WriteFile(both.Authority, authorities, 0o600))
+	require.NoError(t, os.WriteFile(bothAuthorities.Authority, authorities, 0o600))
 	for name, test := range map[string]struct {
 		files keys.Files
 		roles []keys.Role
 		want  string
-		// sent is true when a request may leave before it is refused: in TLS 1.3
-		// the client is done with the handshake before the server has seen its
-		// certificate. A reset may then overtake the alert that says why.
+		// sent is true if a request may be sent before it is rejected: in TLS 1.3 the
+		// client completes the handshake before the server has seen its certificate. A
+		// connection reset may then arrive before the alert that gives the reason.
 		sent bool
 	}{
-		"the program refuses": {stranger, []keys.Role{keys.RoleControl}, "its certificate is not of this site", false},
-		"the voter refuses":   {both, []keys.Role{keys.RoleControl}, "it refuses this program's certificate", true},
-		"another role":        {issue(t, site, "malee", keys.RoleOperator), []keys.Role{keys.RoleRelay}, "its certificate is of another role", false},
+		"the program refuses": {foreignKeys, []keys.Role{keys.RoleControl}, "its certificate is not of this site", false},
+		"the voter refuses":   {bothAuthorities, []keys.Role{keys.RoleControl}, "it refuses this program's certificate", true},
+		"another role":        {issueKeys(t, site, "malee", keys.RoleOperator), []keys.Role{keys.RoleRelay}, "its certificate is of another role", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			security, err := rpc.NewSecurity(rpc.SecuritySettings{Files: test.files}, logrus.New())
@@ -81,17 +81,17 @@
 	}
 }
 
-// TestEachAddressIsNamedWithItsError calls a voter that can't lead alone and an
-// address at which nobody listens, until the context ends.
+// TestEachAddressIsNamedWithItsError calls a voter without a quorum and an address
+// without a listener until the context ends. The error must list both.
 func TestEachAddressIsNamedWithItsError(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 3, nil)
 	leader := cluster.leader()
-	left, gone := cluster.others(leader)[0], cluster.others(leader)[1]
-	gone.crash()
+	remaining, stopped := cluster.others(leader)[0], cluster.others(leader)[1]
+	stopped.crash()
 	leader.crash()
-	const nobody = "127.0.0.1:1"
-	addresses := []string{left.options.Listen, nobody}
+	const unusedAddress = "127.0.0.1:1"
+	addresses := []string{remaining.options.Listen, unusedAddress}
 	connection := rpc.NewClient(rpc.Plaintext(), rpc.ClientConfig{})
 	t.Cleanup(connection.CloseIdle)
 	client := NewClient(addresses, connection)
@@ -101,7 +101,7 @@
 	client.OnWaiting(func(why string) {
 		rounds++
 		if rounds == 3 {
-			require.Contains(t, why, nobody+": ")
+			require.Contains(t, why, unusedAddress+": ")
 			cancel()
 		}
 	})
@@ -114,13 +114,13 @@
 	require.ErrorContains(t, err, "connection refused")
 }
 
-func TestAttemptThatWasCutOffReplacesNoEarlierWord(t *testing.T) {
-	refused, over := errors.New("connection refused"), errors.New("context deadline exceeded")
-	said := make(failures, 2)
-	said.note(0, refused, false)
-	said.note(0, over, true)
-	said.note(1, over, true)
-	require.Equal(t, failures{refused, over}, said)
-	said.note(0, over, false)
-	require.Equal(t, failures{over, over}, said)
+func TestCanceledAttemptKeepsEarlierError(t *testing.T) {
+	refused, expired := errors.New("connection refused"), errors.New("context deadline exceeded")
+	lastErrors := make(voterErrors, 2)
+	lastErrors.record(0, refused, false)
+	lastErrors.record(0, expired, true)
+	lastErrors.record(1, expired, true)
+	require.Equal(t, voterErrors{refused, expired}, lastErrors)
+	lastErrors.record(0, expired, false)
+	require.Equal(t, voterErrors{expired, expired}, lastErrors)
 }
--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -23,53 +23,53 @@
 	"github.com/martenstage/martenstage/internal/rpc"
 )
 
-// testTimeout bounds every wait of the tests; none of them measures time.
+// testTimeout bounds every wait of the tests. No test measures time.
 const testTimeout = 60 * time.Second
 
-// invalidText is refused by the tests' compiler.
+// invalidText is rejected by the tests' compiler.
 const invalidText = "not a configuration"
 
-// testCluster is a group of voters in this process, over real sockets and data
-// folders, whose network can be cut.
+// testCluster is a group of voters in this process, with real sockets and data
+// folders and a network that can be partitioned.
 type testCluster struct {
 	t       testing.TB
 	nodes   []*testNode
 	network *testNetwork
 }
 
-// testNetwork knows which voters are cut off, and between which voters packets
-// are dropped on one way.
+// testNetwork records which voters are isolated and which links drop packets in
+// one direction.
 type testNetwork struct {
-	cuts sync.Map // by address
-	ways sync.Map // by direction
+	isolatedNodes sync.Map // *atomic.Bool by address
+	blockedLinks  sync.Map // *atomic.Bool by link
 }
 
-// direction is a way between two addresses.
-type direction struct{ from, to string }
+// link is one direction between two addresses.
+type link struct{ from, to string }
 
-func (n *testNetwork) cut(address string) *atomic.Bool {
-	cut, _ := n.cuts.LoadOrStore(address, &atomic.Bool{})
-	return cut.(*atomic.Bool)
+func (n *testNetwork) isolated(address string) *atomic.Bool {
+	isolated, _ := n.isolatedNodes.LoadOrStore(address, &atomic.Bool{})
+	return isolated.(*atomic.Bool)
 }
 
-func (n *testNetwork) way(from, to string) *atomic.Bool {
-	blocked, _ := n.ways.LoadOrStore(direction{from, to}, &atomic.Bool{})
+func (n *testNetwork) linkBlocked(from, to string) *atomic.Bool {
+	blocked, _ := n.blockedLinks.LoadOrStore(link{from, to}, &atomic.Bool{})
 	return blocked.(*atomic.Bool)
 }
 
-// drops reports whether packets from one address to another vanish.
+// drops reports whether packets from one address to another are dropped.
 func (n *testNetwork) drops(from, to string) bool {
-	return n.cut(from).Load() || n.cut(to).Load() || n.way(from, to).Load()
+	return n.isolated(from).Load() || n.isolated(to).Load() || n.linkBlocked(from, to).Load()
 }
 
 type testNode struct {
-	t       testing.TB
-	options *Options
-	cut     *atomic.Bool // messages to and from this voter vanish
-	network *testNetwork
-	process *Process
-	stop    context.CancelFunc
-	done    chan error
+	t        testing.TB
+	options  *Options
+	isolated *atomic.Bool // messages to and from this voter are dropped
+	network  *testNetwork
+	process  *Process
+	stop     context.CancelFunc
+	done     chan error
 }
 
 func newTestCluster(t testing.TB, count int, adjust func(*Options)) *testCluster {
@@ -96,7 +96,7 @@
 			adjust(options)
 		}
 		cluster.nodes = append(cluster.nodes, &testNode{
-			t: t, options: options, cut: network.cut(options.Listen), network: network,
+			t: t, options: options, isolated: network.isolated(options.Listen), network: network,
 		})
 	}
 	for index, node := range cluster.nodes {
@@ -110,7 +110,8 @@
 	return cluster
 }
 
-// client returns an operators' client of the given voters, or of all.
+// client returns an operators' client of the given voters, or of all voters if
+// none are given.
 func (c *testCluster) client(nodes ...*testNode) *Client {
 	if len(nodes) == 0 {
 		nodes = c.nodes
@@ -129,7 +130,7 @@
 	var leader *testNode
 	require.Eventually(c.t, func() bool {
 		for _, node := range c.nodes {
-			if node.process != nil && !node.cut.Load() && node.process.voter.Status().Role == consensus.Leader {
+			if node.process != nil && !node.isolated.Load() && node.process.voter.Status().Role == consensus.Leader {
 				leader = node
 				return true
 			}
@@ -139,11 +140,11 @@
 	return leader
 }
 
-// others returns the voters but one.
-func (c *testCluster) others(than *testNode) []*testNode {
+// others returns all voters except one.
+func (c *testCluster) others(excluded *testNode) []*testNode {
 	var others []*testNode
 	for _, node := range c.nodes {
-		if node != than {
+		if node != excluded {
 			others = append(others, node)
 		}
 	}
@@ -175,12 +176,12 @@
 
 func (n *testNode) restart() { n.start(nil) }
 
-// crash ends the voter without any word to the others.
+// crash stops the voter without notice to the others.
 func (n *testNode) crash() {
 	if n.process == nil {
 		return
 	}
-	n.cut.Store(true)
+	n.isolated.Store(true)
 	require.NoError(n.t, n.process.listener.Close())
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -188,11 +189,11 @@
 	n.stop()
 	<-n.done
 	n.process = nil
-	n.cut.Store(false)
+	n.isolated.Store(false)
 }
 
-// dial connects to another voter by a connection that loses what is sent on a
-// way that is cut. A handshake needs both ways.
+// dial connects to another voter through a connection that drops data while its
+// direction is blocked. The handshake requires both directions.
 func (n *testNode) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	own := n.options.Listen
 	if n.network.drops(own, address) || n.network.drops(address, own) {
@@ -213,20 +214,21 @@
 	lost      atomic.Bool
 }
 
-// Write pretends to send while the way is cut. The stream has a hole after
-// that, so it is broken when the ends can reach each other again.
+// Write drops data while the direction is blocked and reports success. The stream
+// is then incomplete, so the connection fails once the ends can reach each other
+// again.
 func (c *lossyConn) Write(data []byte) (int, error) {
 	if c.network.drops(c.own, c.peer) {
 		c.lost.Store(true)
 		return len(data), nil
 	}
 	if c.lost.Load() {
-		return 0, c.abandon()
+		return 0, c.closeBroken()
 	}
 	return c.Conn.Write(data)
 }
 
-// Read loses what arrives while the way back is cut.
+// Read drops data that arrives while the reverse direction is blocked.
 func (c *lossyConn) Read(data []byte) (int, error) {
 	for {
 		count, err := c.Conn.Read(data)
@@ -238,13 +240,13 @@
 			continue
 		}
 		if c.lost.Load() {
-			return 0, c.abandon()
+			return 0, c.closeBroken()
 		}
 		return count, nil
 	}
 }
 
-func (c *lossyConn) abandon() error {
+func (c *lossyConn) closeBroken() error {
 	c.once.Do(func() { _ = c.Conn.Close() })
 	return errors.New("connection lost")
 }
@@ -259,6 +261,6 @@
 	response, err := client.Apply(testContext(t), &v1.ApplyRequest{
 		ChangeId: id, Text: text, ExpectedRevision: expected, Author: "author-of-" + id,
 	})
-	assert.NoError(t, err) // also called beside the test's own goroutine
+	assert.NoError(t, err) // not require: also called from other goroutines than the test's
 	return response
 }
--- a/internal/control/compress.go
+++ b/internal/control/compress.go
@@ -8,11 +8,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxDecompressedBytes bounds a text or plan taken from the log.
+// maxDecompressedBytes bounds a text or plan read from the log.
 const maxDecompressedBytes = 64 << 20
 
-// compress packs a text or an encoded plan for the log. Configurations repeat
-// themselves much, and the log, the history and snapshots hold many of them.
+// compress compresses a text or an encoded plan for the log. Configurations are
+// repetitive, and the log, the history and snapshots hold many of them.
 func compress(data []byte) ([]byte, error) {
 	var packed bytes.Buffer
 	writer := gzip.NewWriter(&packed)
--- a/internal/control/config_apply.go
+++ b/internal/control/config_apply.go
@@ -13,13 +13,13 @@
 	"github.com/martenstage/martenstage/internal/state"
 )
 
-// Bounds of what an operator sends.
+// Limits of operators' requests.
 const (
 	maxIDBytes      = 200
 	maxCommentBytes = 2000
 	maxDetailBytes  = 4000
-	// MaxTextBytes bounds a configuration text. A site of 57,000 back ends
-	// takes about 4 MB.
+	// MaxTextBytes bounds a configuration text. A site of 57,000 back ends takes
+	// about 4 MB.
 	MaxTextBytes = 16 << 20
 )
 
@@ -38,7 +38,7 @@
 	}
 	call := leaderCall[v1.ApplyRequest, v1.ApplyResponse]{
 		local: s.apply,
-		remote: func(leader peers, ctx context.Context, request *connect.Request[v1.ApplyRequest]) (*connect.Response[v1.ApplyResponse], error) {
+		remote: func(leader voterClients, ctx context.Context, request *connect.Request[v1.ApplyRequest]) (*connect.Response[v1.ApplyResponse], error) {
 			return leader.config.Apply(ctx, request)
 		},
 	}
@@ -64,12 +64,12 @@
 
 func (s configService) apply(ctx context.Context, request *v1.ApplyRequest) (*v1.ApplyResponse, error) {
 	hash := state.ApplyHash(request.GetText(), request.GetRollbackTo())
-	// A decision is final, so it is answered from any applied state.
-	if first, known := s.server.firstResult(request.GetChangeId(), hash); known {
+	// A recorded result is final, so any applied state may answer with it.
+	if first, known := s.server.recordedResult(request.GetChangeId(), hash); known {
 		return applyResponse(first), nil
 	}
-	// Confirmed first, so that the text of a rollback is surely applied here,
-	// and a voter that does not lead compiles nothing.
+	// Leadership is confirmed first, so that the text of a rollback has been applied
+	// here and a voter that does not lead compiles nothing.
 	if _, err := s.server.confirm(ctx); err != nil {
 		return nil, err
 	}
@@ -95,12 +95,13 @@
 	return applyResponse(result.Change), nil
 }
 
-// compile fills in text and plan, and returns them. A text that the compiler
-// refuses is marked invalid; the refusal is recorded like any other decision.
+// compile fills in text and plan, and returns them. If the compiler rejects the
+// text, the command is marked invalid and the rejection is recorded like any other
+// result.
 func (s configService) compile(command *v1.ChangeCommand, text string) (configdelta.Configuration, error) {
 	var submitted configdelta.Configuration
 	if command.GetRollbackOf() != 0 {
-		earlier, kept, err := s.server.text(command.GetRollbackOf())
+		earlier, kept, err := s.server.revisionText(command.GetRollbackOf())
 		if err != nil {
 			return submitted, err
 		}
@@ -128,15 +129,15 @@
 	}
 }
 
-// truncate cuts a text to a number of bytes, at a whole character.
-func truncate(text string, most int) string {
-	if len(text) <= most {
+// truncate cuts a text to at most maxBytes, at a character boundary.
+func truncate(text string, maxBytes int) string {
+	if len(text) <= maxBytes {
 		return text
 	}
-	return strings.ToValidUTF8(text[:most], "")
+	return strings.ToValidUTF8(text[:maxBytes], "")
 }
 
-// SetDrain marks a back end as leaving, or removes the mark.
+// SetDrain sets or clears the drain mark of a back end.
 func (s configService) SetDrain(
 	ctx context.Context, request *connect.Request[v1.SetDrainRequest],
 ) (*connect.Response[v1.SetDrainResponse], error) {
@@ -151,7 +152,7 @@
 	}
 	call := leaderCall[v1.SetDrainRequest, v1.SetDrainResponse]{
 		local: s.setDrain,
-		remote: func(leader peers, ctx context.Context, request *connect.Request[v1.SetDrainRequest]) (*connect.Response[v1.SetDrainResponse], error) {
+		remote: func(leader voterClients, ctx context.Context, request *connect.Request[v1.SetDrainRequest]) (*connect.Response[v1.SetDrainResponse], error) {
 			return leader.config.SetDrain(ctx, request)
 		},
 	}
--- a/internal/control/config_read.go
+++ b/internal/control/config_read.go
@@ -11,17 +11,17 @@
 	"github.com/martenstage/martenstage/internal/state"
 )
 
-// Bounds of lists.
+// Limits of list calls.
 const (
 	defaultListLimit = 100
 	maxListLimit     = 10_000
 )
 
-func listLimit(asked uint32) int {
-	if asked == 0 {
+func listLimit(requested uint32) int {
+	if requested == 0 {
 		return defaultListLimit
 	}
-	return int(min(asked, maxListLimit))
+	return int(min(requested, maxListLimit))
 }
 
 // Get returns one revision with its text.
@@ -30,7 +30,7 @@
 ) (*connect.Response[v1.GetResponse], error) {
 	call := leaderCall[v1.GetRequest, v1.GetResponse]{
 		local: s.get,
-		remote: func(leader peers, ctx context.Context, request *connect.Request[v1.GetRequest]) (*connect.Response[v1.GetResponse], error) {
+		remote: func(leader voterClients, ctx context.Context, request *connect.Request[v1.GetRequest]) (*connect.Response[v1.GetResponse], error) {
 			return leader.config.Get(ctx, request)
 		},
 	}
@@ -52,7 +52,7 @@
 	if !kept {
 		return nil, refuse(connect.CodeNotFound, "revision %d does not exist or is not kept any more", number)
 	}
-	text, kept, err := s.server.text(number)
+	text, kept, err := s.server.revisionText(number)
 	if err != nil {
 		return nil, err
 	}
@@ -70,7 +70,7 @@
 ) (*connect.Response[v1.HistoryResponse], error) {
 	call := leaderCall[v1.HistoryRequest, v1.HistoryResponse]{
 		local: s.history,
-		remote: func(leader peers, ctx context.Context, request *connect.Request[v1.HistoryRequest]) (*connect.Response[v1.HistoryResponse], error) {
+		remote: func(leader voterClients, ctx context.Context, request *connect.Request[v1.HistoryRequest]) (*connect.Response[v1.HistoryResponse], error) {
 			return leader.config.History(ctx, request)
 		},
 	}
@@ -88,7 +88,7 @@
 	}, nil
 }
 
-// wireRevision leaves the text out.
+// wireRevision converts a revision to its wire form, without the text.
 func wireRevision(revision state.Revision) *v1.Revision {
 	return &v1.Revision{
 		Number:     revision.Number,
--- a/internal/control/config_status.go
+++ b/internal/control/config_status.go
@@ -12,14 +12,14 @@
 	"github.com/martenstage/martenstage/internal/voter"
 )
 
-// Status describes the group and the nodes that follow it. Only a confirmed
-// leader answers, unless the call asks for the voter's own view.
+// Status describes the group and the nodes that follow it. Only a confirmed leader
+// answers, unless the request asks for the voter's local view.
 func (s configService) Status(
 	ctx context.Context, request *connect.Request[v1.StatusRequest],
 ) (*connect.Response[v1.StatusResponse], error) {
 	call := leaderCall[v1.StatusRequest, v1.StatusResponse]{
 		local: s.status,
-		remote: func(leader peers, ctx context.Context, request *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error) {
+		remote: func(leader voterClients, ctx context.Context, request *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error) {
 			return leader.config.Status(ctx, request)
 		},
 	}
--- a/internal/control/config_voters.go
+++ b/internal/control/config_voters.go
@@ -14,7 +14,7 @@
 	"github.com/martenstage/martenstage/internal/voter"
 )
 
-// AddVoter adds a voter and answers once it is one in full.
+// AddVoter adds a member and returns once it is a full voter.
 func (s configService) AddVoter(
 	ctx context.Context, request *connect.Request[v1.AddVoterRequest],
 ) (*connect.Response[v1.VotersResponse], error) {
@@ -39,7 +39,7 @@
 				return s.server.voter.AddVoter(ctx, request.GetId(), request.GetAddress())
 			})
 		},
-		remote: func(leader peers, ctx context.Context, request *connect.Request[v1.AddVoterRequest]) (*connect.Response[v1.VotersResponse], error) {
+		remote: func(leader voterClients, ctx context.Context, request *connect.Request[v1.AddVoterRequest]) (*connect.Response[v1.VotersResponse], error) {
 			return leader.config.AddVoter(ctx, request)
 		},
 	}
@@ -62,15 +62,15 @@
 			}
 			return s.changeVoters(ctx, removed, func() error { return s.removeVoter(ctx, request.GetId()) })
 		},
-		remote: func(leader peers, ctx context.Context, request *connect.Request[v1.RemoveVoterRequest]) (*connect.Response[v1.VotersResponse], error) {
+		remote: func(leader voterClients, ctx context.Context, request *connect.Request[v1.RemoveVoterRequest]) (*connect.Response[v1.VotersResponse], error) {
 			return leader.config.RemoveVoter(ctx, request)
 		},
 	}
 	return call.do(ctx, s.server, request)
 }
 
-// removeVoter removes a voter. A leader hands over before it is removed itself:
-// afterwards it would hear from nobody, and could not tell what was done.
+// removeVoter removes a voter. A leader transfers leadership before it removes
+// itself: once removed it receives no messages and could not report the outcome.
 func (s configService) removeVoter(ctx context.Context, id uint64) error {
 	status := s.server.voter.Status()
 	if id != s.server.config.ID || !leadsOthers(status) {
@@ -83,7 +83,8 @@
 	return &voter.NotLeaderError{LeaderID: status.Leader, LeaderAddress: status.LeaderAddress}
 }
 
-// byAuthor names the operator in an event; without keys none is known.
+// byAuthor names the operator in an event. Without TLS keys the operator is not
+// known.
 func byAuthor(author string) string {
 	if author == "" {
 		return ""
@@ -100,7 +101,7 @@
 	if err := change(); err != nil {
 		return nil, err
 	}
-	// Ids of voters are never reused, so a repeated call stores no second event.
+	// Voter ids are never reused, so a repeated call stores no second event.
 	event.Kind = journal.KindVoterReplaced
 	s.server.recorder.Record(event)
 	return s.voters(), nil
@@ -117,7 +118,7 @@
 			}
 			return s.voters(), nil
 		},
-		remote: func(leader peers, ctx context.Context, request *connect.Request[v1.ListVotersRequest]) (*connect.Response[v1.VotersResponse], error) {
+		remote: func(leader voterClients, ctx context.Context, request *connect.Request[v1.ListVotersRequest]) (*connect.Response[v1.VotersResponse], error) {
 			return leader.config.ListVoters(ctx, request)
 		},
 	}
@@ -133,7 +134,7 @@
 	return &v1.Voter{Id: member.ID, Address: member.Address, Learner: member.Learner}
 }
 
-// TransferLeadership hands leadership to another voter.
+// TransferLeadership transfers leadership to another voter.
 func (s configService) TransferLeadership(
 	ctx context.Context, request *connect.Request[v1.TransferLeadershipRequest],
 ) (*connect.Response[v1.TransferLeadershipResponse], error) {
@@ -147,7 +148,7 @@
 			}
 			return &v1.TransferLeadershipResponse{}, nil
 		},
-		remote: func(leader peers, ctx context.Context, request *connect.Request[v1.TransferLeadershipRequest]) (*connect.Response[v1.TransferLeadershipResponse], error) {
+		remote: func(leader voterClients, ctx context.Context, request *connect.Request[v1.TransferLeadershipRequest]) (*connect.Response[v1.TransferLeadershipResponse], error) {
 			return leader.config.TransferLeadership(ctx, request)
 		},
 	}
--- a/internal/control/confirmer.go
+++ b/internal/control/confirmer.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// confirmTimeout bounds one round of asking a quorum. It is longer than an
-// election, so that a deposed leader has stepped down by then.
+// confirmTimeout bounds one quorum round. It is longer than an election, so that a
+// deposed leader has stepped down by then.
 const confirmTimeout = 3 * time.Second
 
-// confirmer shares leadership confirmations among callers. A confirmation
-// serves only callers that arrived before its messages were sent: one that
-// arrives while a round is out waits for the next round, since the round may
-// have been answered before a newer leader took over. So any number of callers
-// costs at most one round trip after another.
+// confirmer shares leadership confirmations among callers. A confirmation is valid
+// only for callers that arrived before its messages were sent. A caller that
+// arrives while a round is in flight waits for the next one, because voters may
+// have answered the round before a newer leader was elected. Any number of callers
+// thus costs at most one round trip at a time.
 type confirmer struct {
 	confirm func(context.Context) (term uint64, err error)
 
@@ -29,10 +29,10 @@
 	err  error
 }
 
-// Confirm returns the term once a quorum has confirmed, after the call began,
+// Confirm returns the term after a quorum has confirmed, since the call began,
 // that this voter leads.
 func (c *confirmer) Confirm(ctx context.Context) (uint64, error) {
-	round := c.join()
+	round := c.joinRound()
 	select {
 	case <-round.done:
 		return round.term, round.err
@@ -41,7 +41,7 @@
 	}
 }
 
-func (c *confirmer) join() *confirmation {
+func (c *confirmer) joinRound() *confirmation {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.next == nil {
@@ -54,9 +54,9 @@
 	return c.next
 }
 
-// run confirms round after round until nobody waits.
+// run confirms round after round until no caller waits.
 func (c *confirmer) run() {
-	for round := c.take(); round != nil; round = c.take() {
+	for round := c.takeRound(); round != nil; round = c.takeRound() {
 		ctx, cancel := context.WithTimeout(context.Background(), confirmTimeout)
 		round.term, round.err = c.confirm(ctx)
 		cancel()
@@ -64,7 +64,7 @@
 	}
 }
 
-func (c *confirmer) take() *confirmation {
+func (c *confirmer) takeRound() *confirmation {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	round := c.next
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -19,8 +19,9 @@
 	conflict = v1.ApplyResult_APPLY_RESULT_CONFLICT
 )
 
-// TestRacingOperators submits changes with equal numbers through every voter:
-// one wins, and the others learn of its revision and author.
+// TestRacingOperators submits concurrent changes with the same expected revision
+// through every voter. Exactly one must be accepted, and the others must get its
+// revision and author.
 func TestRacingOperators(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 3, nil)
@@ -55,7 +56,7 @@
 }
 
 // TestResentChangeGetsFirstResult resends accepted, refused and invalid changes
-// after a change of leader, a compaction of the log and a restart of all.
+// after a leader change, a log compaction and a restart of all voters.
 func TestResentChangeGetsFirstResult(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 3, func(options *Options) { options.SnapshotEntries = 5 })
@@ -73,7 +74,7 @@
 	revision := uint64(1)
 	check := func(when string) {
 		for id, text := range texts {
-			// The number that it is written against may have moved on.
+			// A retry may state a newer expected revision.
 			again := apply(t, client, id, text, revision)
 			require.Equal(t, first[id].String(), again.String(), "%s, %s", id, when)
 		}
@@ -104,8 +105,8 @@
 	require.Equal(t, "filler-19", latest.GetText())
 }
 
-// TestControlCharactersAreRefused keeps what operators write on one line of the
-// history and of the events.
+// TestControlCharactersAreRefused checks that change id and comment stay on one
+// line in the history and in events.
 func TestControlCharactersAreRefused(t *testing.T) {
 	t.Parallel()
 	require.NoError(t, checkApply(&v1.ApplyRequest{ChangeId: "first", Comment: "a comment"}))
@@ -113,8 +114,8 @@
 	require.ErrorContains(t, checkApply(&v1.ApplyRequest{ChangeId: "first", Comment: "\x1b[2J"}), "control characters")
 }
 
-// TestVoterReplaced replaces one voter and loses another right after: nothing
-// is lost and changes are accepted.
+// TestVoterReplaced replaces one voter and crashes another right after. No change
+// may be lost, and new changes must be accepted.
 func TestVoterReplaced(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 3, nil)
@@ -140,8 +141,8 @@
 	require.Equal(t, "one", history[1].GetChangeId())
 }
 
-// TestJournal checks that events are stored once, that control records its own,
-// and that drain marks of operators reach the followers' tables.
+// TestJournal checks that events are stored once, that control records its own
+// events, and that operators' drain marks reach the followers' tables.
 func TestJournal(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 1, nil)
@@ -175,7 +176,7 @@
 	require.Equal(t, "leaving", status.GetMachines()[0].GetState())
 }
 
-// TestRollback takes an earlier text again under a new, higher revision.
+// TestRollback applies an earlier text again under a new, higher revision.
 func TestRollback(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 1, nil)
@@ -194,7 +195,7 @@
 	require.Equal(t, v1.ApplyResult_APPLY_RESULT_INVALID, unknown.GetResult())
 }
 
-// TestDataFolderInUse checks the exit code of a second process on one folder.
+// TestDataFolderInUse checks the exit code of a second process on the same folder.
 func TestDataFolderInUse(t *testing.T) {
 	t.Parallel()
 	node := newTestCluster(t, 1, nil).nodes[0]
@@ -202,9 +203,9 @@
 	require.Equal(t, exitcode.DataFolder, exitcode.Of(err), "%v", err)
 }
 
-// TestEmptyFolderNeedsIntent checks that a voter with an empty folder does not
-// found a group unless it is told to.
-func TestEmptyFolderNeedsIntent(t *testing.T) {
+// TestEmptyFolderNeedsVoterOrJoin checks that a voter with an empty folder does
+// not create a group unless its settings request one.
+func TestEmptyFolderNeedsVoterOrJoin(t *testing.T) {
 	t.Parallel()
 	options := &Options{DataFolder: t.TempDir(), ID: 1, Listen: "127.0.0.1:0", SecurityOptions: rpc.SecurityOptions{InsecurePlaintext: true}}
 	_, err := Open(options, Environment{})
--- a/internal/control/cutoff_test.go
+++ b/internal/control/cutoff_test.go
@@ -14,43 +14,44 @@
 	v1 "github.com/martenstage/martenstage/internal/gen/martenstage/v1"
 )
 
-// between drops, or lets pass again, packets from one set of voters to another.
-func (c *testCluster) between(from, to []*testNode, dropped bool) {
+// setDropped starts or stops dropping packets from one set of voters to another.
+func (c *testCluster) setDropped(from, to []*testNode, dropped bool) {
 	for _, sender := range from {
 		for _, receiver := range to {
-			c.network.way(sender.options.Listen, receiver.options.Listen).Store(dropped)
+			c.network.linkBlocked(sender.options.Listen, receiver.options.Listen).Store(dropped)
 		}
 	}
 }
 
-// cutOffs are the ways in which the leader can be silently cut off from the
-// other voters.
-var cutOffs = []struct {
+// partitions are the silent network partitions between the leader and the other
+// voters.
+var partitions = []struct {
 	name string
 	set  func(cluster *testCluster, old *testNode, dropped bool)
 }{
-	{"both ways", func(_ *testCluster, old *testNode, dropped bool) { old.cut.Store(dropped) }},
+	{"both ways", func(_ *testCluster, old *testNode, dropped bool) { old.isolated.Store(dropped) }},
 	{"what it sends", func(cluster *testCluster, old *testNode, dropped bool) {
-		cluster.between([]*testNode{old}, cluster.others(old), dropped)
+		cluster.setDropped([]*testNode{old}, cluster.others(old), dropped)
 	}},
 	{"what it is sent", func(cluster *testCluster, old *testNode, dropped bool) {
-		cluster.between(cluster.others(old), []*testNode{old}, dropped)
+		cluster.setDropped(cluster.others(old), []*testNode{old}, dropped)
 	}},
 }
 
-// TestCutOffLeaderAnswersNothing cuts the leader off from the others without a
-// word, while operators and routers still reach it. It must neither accept,
-// claim, read nor confirm a lease, from the first moment on and for as long as
-// it believes that it leads; the others go on, and it follows on its return.
-func TestCutOffLeaderAnswersNothing(t *testing.T) {
+// TestPartitionedLeaderAnswersNothing silently partitions the leader from the
+// other voters while operators and routers still reach it. From the first moment
+// and for as long as it still assumes leadership, it must not accept a change,
+// grant a claim, answer a read or confirm a lease. The others continue, and the
+// old leader follows after it returns.
+func TestPartitionedLeaderAnswersNothing(t *testing.T) {
 	t.Parallel()
-	for _, way := range cutOffs {
-		t.Run(way.name, func(t *testing.T) {
+	for _, partition := range partitions {
+		t.Run(partition.name, func(t *testing.T) {
 			t.Parallel()
 			cluster := newTestCluster(t, 3, nil)
 			require.Equal(t, accepted, apply(t, cluster.client(), "one", "one", 0).GetResult())
 			old := cluster.leader()
-			way.set(cluster, old, true)
+			partition.set(cluster, old, true)
 			var calling sync.WaitGroup
 			for name, call := range callsOf(cluster.client(old).voters[0]) {
 				calling.Go(func() {
@@ -70,7 +71,7 @@
 			require.Equal(t, accepted, apply(t, cluster.client(cluster.others(old)...), "two", "two", 1).GetResult())
 			calling.Wait()
 
-			way.set(cluster, old, false)
+			partition.set(cluster, old, false)
 			require.Eventually(t, func() bool {
 				revision, err := cluster.client(old).Get(testContext(t), 0)
 				return err == nil && revision.GetText() == "two" && old.process.server.latest().Number == 2
@@ -79,8 +80,8 @@
 	}
 }
 
-// callsOf returns one call of each kind to one voter, without resends.
-func callsOf(voter peers) map[string]func(context.Context) error {
+// callsOf returns one call of each kind to one voter, without retries.
+func callsOf(voter voterClients) map[string]func(context.Context) error {
 	return map[string]func(context.Context) error{
 		"get": func(ctx context.Context) error {
 			_, err := voter.config.Get(ctx, connect.NewRequest(&v1.GetRequest{}))
@@ -101,41 +102,42 @@
 	}
 }
 
-// TestLeaderCutOffFromSome drops packets between the leader and one of two
-// other voters for long, each way: there is a quorum all the time, so changes
-// are accepted, and the voter that misses them must not read as if it had them.
-func TestLeaderCutOffFromSome(t *testing.T) {
+// TestLeaderPartitionedFromOneVoter drops packets between the leader and one of
+// two other voters for a long time, in either or both directions. A quorum exists
+// throughout, so changes are accepted, and the voter that misses them must not
+// answer stale reads.
+func TestLeaderPartitionedFromOneVoter(t *testing.T) {
 	t.Parallel()
-	for _, way := range []string{"both", "to it", "from it"} {
-		t.Run(way, func(t *testing.T) {
+	for _, direction := range []string{"both", "to it", "from it"} {
+		t.Run(direction, func(t *testing.T) {
 			t.Parallel()
 			cluster := newTestCluster(t, 3, nil)
 			require.Equal(t, accepted, apply(t, cluster.client(), "one", "one", 0).GetResult())
 			old := cluster.leader()
-			missing := cluster.others(old)[0]
-			cut := func(dropped bool) {
-				if way != "from it" {
-					cluster.between([]*testNode{old}, []*testNode{missing}, dropped)
+			lagging := cluster.others(old)[0]
+			setPartition := func(dropped bool) {
+				if direction != "from it" {
+					cluster.setDropped([]*testNode{old}, []*testNode{lagging}, dropped)
 				}
-				if way != "to it" {
-					cluster.between([]*testNode{missing}, []*testNode{old}, dropped)
+				if direction != "to it" {
+					cluster.setDropped([]*testNode{lagging}, []*testNode{old}, dropped)
 				}
 			}
-			cut(true)
+			setPartition(true)
 			const changes = 12
 			for revision := uint64(1); revision < changes; revision++ {
 				id := fmt.Sprint("change-", revision)
 				require.Equal(t, accepted, apply(t, cluster.client(), id, id, revision).GetResult())
 				ctx, cancel := context.WithTimeout(testContext(t), 300*time.Millisecond)
-				read, err := cluster.client(missing).voters[0].config.Get(ctx, connect.NewRequest(&v1.GetRequest{}))
+				read, err := cluster.client(lagging).voters[0].config.Get(ctx, connect.NewRequest(&v1.GetRequest{}))
 				cancel()
 				if err == nil {
 					require.Equal(t, id, read.Msg.GetRevision().GetText(), "a stale read")
 				}
 			}
-			cut(false)
+			setPartition(false)
 			require.Eventually(t, func() bool {
-				return missing.process.server.latest().Number == changes
+				return lagging.process.server.latest().Number == changes
 			}, testTimeout, 20*time.Millisecond)
 		})
 	}
--- a/internal/control/failover_bench_test.go
+++ b/internal/control/failover_bench_test.go
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkLeaderLost measures, with the default timeouts, how long after the
-// leader's crash or silent cut-off a change is accepted again.
+// BenchmarkLeaderLost measures, with the default timeouts, how long it takes after
+// a crash or silent partition of the leader until a change is accepted again.
 func BenchmarkLeaderLost(b *testing.B) {
-	for _, way := range []string{"crash", "cut-off"} {
-		b.Run(way, func(b *testing.B) {
+	for _, failure := range []string{"crash", "cut-off"} {
+		b.Run(failure, func(b *testing.B) {
 			cluster := newTestCluster(b, 3, func(options *Options) {
 				options.Heartbeat, options.ElectionTimeout = 100*time.Millisecond, time.Second
 			})
@@ -23,19 +23,19 @@
 				leader := cluster.leader()
 				b.StartTimer()
 				started := time.Now()
-				if way == "crash" {
+				if failure == "crash" {
 					leader.crash()
 				} else {
-					leader.cut.Store(true)
+					leader.isolated.Store(true)
 				}
 				id := fmt.Sprint("change-", round)
 				require.Equal(b, accepted, apply(b, client, id, id, uint64(round)).GetResult())
 				longest = max(longest, time.Since(started))
 				b.StopTimer()
-				if way == "crash" {
+				if failure == "crash" {
 					leader.restart()
 				}
-				leader.cut.Store(false)
+				leader.isolated.Store(false)
 				time.Sleep(time.Second)
 				b.StartTimer()
 			}
--- a/internal/control/format_raiser.go
+++ b/internal/control/format_raiser.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// formatInterval is how often a leader whose state is of an old format asks
-	// whether the group is ready for the next one.
+	// formatInterval is how often a leader whose state has an old format checks
+	// whether all members support the latest one.
 	formatInterval = 500 * time.Millisecond
-	// formatTimeout bounds one question.
+	// formatTimeout bounds one status request to a member.
 	formatTimeout = time.Second
 )
 
-// formatRaiser raises the format of the state once every member of the group
-// runs a program that knows it. A voter stops at a command that it doesn't know,
-// so during an upgrade no command of the new format may be committed as long as
-// an old program is left.
+// formatRaiser raises the format of the state once every member of the group runs
+// a program that supports it. A voter stops at a command that it doesn't know, so
+// during a rolling upgrade no command of the new format may be committed while a
+// member runs an old program.
 type formatRaiser struct {
 	server *Server
 }
 
 func newFormatRaiser(server *Server) *formatRaiser { return &formatRaiser{server: server} }
 
-// run ends once the format is raised: it never goes down again.
+// run returns once the format is raised, since the format never decreases.
 func (r *formatRaiser) run(ctx context.Context) {
 	ticker := time.NewTicker(formatInterval)
 	defer ticker.Stop()
@@ -50,10 +50,10 @@
 	return format
 }
 
-// raise proposes the format when this voter leads and all members know it. A
-// member that does not answer counts as one that doesn't.
+// raise proposes the format if this voter leads and all members support it. A
+// member that does not answer counts as not supporting it.
 func (r *formatRaiser) raise(ctx context.Context, status voter.Status) {
-	if status.Role != consensus.Leader || !r.allKnow(ctx, status.ID, status.Members) {
+	if status.Role != consensus.Leader || !r.allSupport(ctx, status.ID, status.Members) {
 		return
 	}
 	command := &v1.StateCommand{Body: &v1.StateCommand_Format{Format: &v1.FormatCommand{Format: state.LatestFormat}}}
@@ -64,20 +64,20 @@
 	r.server.logger.WithFields(logrus.Fields{"format": state.LatestFormat}).Info("state_format_raised")
 }
 
-// allKnow asks all members but this voter itself.
-func (r *formatRaiser) allKnow(ctx context.Context, self uint64, members []consensus.MemberStatus) bool {
+// allSupport checks all members except this voter.
+func (r *formatRaiser) allSupport(ctx context.Context, self uint64, members []consensus.MemberStatus) bool {
 	for _, member := range members {
-		if member.ID != self && !r.knows(ctx, member) {
+		if member.ID != self && !r.supports(ctx, member) {
 			return false
 		}
 	}
 	return true
 }
 
-func (r *formatRaiser) knows(ctx context.Context, member consensus.MemberStatus) bool {
-	asking, cancel := context.WithTimeout(ctx, formatTimeout)
+func (r *formatRaiser) supports(ctx context.Context, member consensus.MemberStatus) bool {
+	callCtx, cancel := context.WithTimeout(ctx, formatTimeout)
 	defer cancel()
 	request := connect.NewRequest(&v1.StatusRequest{Local: true})
-	answer, err := r.server.peersAt(member.Address).config.Status(asking, request)
+	answer, err := r.server.clientsFor(member.Address).config.Status(callCtx, request)
 	return err == nil && answer.Msg.GetAnsweredBy() == member.ID && answer.Msg.GetStateFormat() >= state.LatestFormat
 }
--- a/internal/control/group_watcher.go
+++ b/internal/control/group_watcher.go
@@ -10,28 +10,28 @@
 	"github.com/martenstage/martenstage/internal/voter"
 )
 
-// groupWatchInterval is how often the group's state is compared with what was
-// last recorded.
+// groupWatchInterval is how often the group's state is compared with what was last
+// recorded.
 const groupWatchInterval = 200 * time.Millisecond
 
-// Bounds of what is told of a disk that is slow.
+// Thresholds of slow disk reports.
 const (
-	// slowSync is how long a write may wait for its sync before the disk counts
-	// as slow: longer than a leader may stay silent.
-	slowSync = time.Second
-	// slowRepeat is the least time between two events about it.
-	slowRepeat = time.Minute
+	// slowSyncThreshold is how long a write may wait for its sync before the disk
+	// counts as slow. It is longer than a leader may stay silent.
+	slowSyncThreshold = time.Second
+	// slowSyncReportInterval is the minimum time between two slow disk events.
+	slowSyncReportInterval = time.Minute
 )
 
-// groupWatcher records what happens to the group of voters: a new leader,
-// voters lost and returned, a disk that failed.
+// groupWatcher records events of the voter group: a new leader, voters lost and
+// returned, a slow or failed disk.
 type groupWatcher struct {
-	record     func(journal.Event)
-	status     func() voter.Status
-	term       uint64
-	lost       map[uint64]bool
-	diskFailed bool
-	slowTold   time.Time
+	record         func(journal.Event)
+	status         func() voter.Status
+	term           uint64
+	lost           map[uint64]bool
+	diskFailed     bool
+	slowReportedAt time.Time
 }
 
 func newGroupWatcher(server *Server) *groupWatcher {
@@ -61,7 +61,8 @@
 		w.term = status.Term
 		clear(w.lost)
 		w.record(journal.Event{
-			// The term names the event: whoever records it, it is stored once.
+			// The term is the event's id, so the event is stored once whichever voter
+			// records it.
 			ID:     fmt.Sprintf("control/term/%d", status.Term),
 			Kind:   journal.KindLeaderChanged,
 			Detail: fmt.Sprintf("voter %d leads in term %d", status.ID, status.Term),
@@ -99,12 +100,12 @@
 }
 
 func (w *groupWatcher) observeSlowDisk(status voter.Status) {
-	if status.UnsyncedFor < slowSync || time.Since(w.slowTold) < slowRepeat {
+	if status.UnsyncedFor < slowSyncThreshold || time.Since(w.slowReportedAt) < slowSyncReportInterval {
 		return
 	}
-	w.slowTold = time.Now()
+	w.slowReportedAt = time.Now()
 	w.record(journal.Event{
 		Kind:   journal.KindDiskSlow,
-		Detail: fmt.Sprintf("a write of voter %d has waited longer than %s for the disk", status.ID, slowSync),
+		Detail: fmt.Sprintf("a write of voter %d has waited longer than %s for the disk", status.ID, slowSyncThreshold),
 	})
 }
--- a/internal/control/group_watcher_test.go
+++ b/internal/control/group_watcher_test.go
@@ -12,9 +12,9 @@
 	"github.com/martenstage/martenstage/internal/voter"
 )
 
-// TestGroupWatcherTellsEachChangeOnce feeds the watcher with what a voter says
-// of its group and its disk, each state twice.
-func TestGroupWatcherTellsEachChangeOnce(t *testing.T) {
+// TestGroupWatcherReportsEachChangeOnce passes statuses of a voter's group and
+// disk to the watcher, each twice.
+func TestGroupWatcherReportsEachChangeOnce(t *testing.T) {
 	t.Parallel()
 	var kinds []journal.Kind
 	watcher := &groupWatcher{lost: map[uint64]bool{}, record: func(event journal.Event) { kinds = append(kinds, event.Kind) }}
@@ -27,7 +27,7 @@
 		return status
 	}
 	slow, failed := status(consensus.Follower, 6, true), status(consensus.Follower, 6, true)
-	slow.UnsyncedFor = slowSync + time.Millisecond
+	slow.UnsyncedFor = slowSyncThreshold + time.Millisecond
 	failed.DiskError = errors.New("no space left")
 	for _, step := range []struct {
 		status voter.Status
--- a/internal/control/history_test.go
+++ b/internal/control/history_test.go
@@ -26,7 +26,7 @@
 	"github.com/martenstage/martenstage/internal/state"
 )
 
-// smallSite is the text of revision 1 of the committed snapshot.
+// smallSite is the text of revision 1 in the snapshot under testdata.
 const smallSite = `service s {
 	slots 2
 	connections 70
@@ -53,13 +53,13 @@
 	return policy.Compile(compiledFileName, []byte(text))
 }
 
-// TestStateOfTheFirstFormatGoesOn restores a snapshot that the program wrote
-// before it knew differences: texts and plan are there, and changes as
-// differences build on them.
-func TestStateOfTheFirstFormatGoesOn(t *testing.T) {
+// TestStateOfFirstFormatIsReadable restores a snapshot that was written before
+// deltas existed. Texts and plan must be readable, and later deltas must build on
+// them.
+func TestStateOfFirstFormatIsReadable(t *testing.T) {
 	data, err := os.ReadFile(filepath.Join("testdata", "state-v1.bin"))
 	require.NoError(t, err)
-	changes := newChanger(t, compilePolicy, 1)
+	changes := newChangeHarness(t, compilePolicy, 1)
 	require.NoError(t, changes.server.store.Restore(data))
 	texts := []string{
 		smallSite, strings.Replace(smallSite, "127.0.0.1", "127.0.0.2", 1), strings.Replace(smallSite, "slots 2", "slots 3", 1),
@@ -75,9 +75,9 @@
 	changes.requireHistory(t, texts)
 }
 
-// requireHistory compares texts and the published plan with what was submitted,
+// requireHistory compares texts and the published plan with the submitted ones,
 // also after a restart from a snapshot.
-func (c *changer) requireHistory(t require.TestingT, texts []string) {
+func (c *changeHarness) requireHistory(t require.TestingT, texts []string) {
 	snapshot, err := c.server.store.Snapshot()
 	require.NoError(t, err)
 	restarted := &Server{store: NewStore(state.DefaultLimits(), plan.FromProto)}
@@ -86,7 +86,7 @@
 	require.NoError(t, err)
 	for _, server := range []*Server{c.server, restarted} {
 		for index, text := range texts {
-			got, kept, err := server.text(uint64(index + 1))
+			got, kept, err := server.revisionText(uint64(index + 1))
 			require.NoError(t, err)
 			require.True(t, kept)
 			require.Equal(t, text, got)
@@ -100,13 +100,13 @@
 	require.Equal(t, snapshot, again)
 }
 
-// TestVotersStayEqual applies a log of changes to voters of which some start
-// from a snapshot on the way and one takes over the lead without what the
-// leader before remembered: states are equal byte for byte, and so are plans.
+// TestVotersStayEqual applies a log of changes to several voters. Some start from
+// a snapshot in the middle, and one takes over as leader without the previous
+// leader's cache. States must be equal byte for byte, and so must plans.
 func TestVotersStayEqual(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		leader := newChanger(t, policy.NewCompiler(compiledFileName).Compile, state.LatestFormat)
-		voters := []*Store{newChanger(t, compilePolicy, state.LatestFormat).server.store}
+		leader := newChangeHarness(t, policy.NewCompiler(compiledFileName).Compile, state.LatestFormat)
+		voters := []*Store{newChangeHarness(t, compilePolicy, state.LatestFormat).server.store}
 		text := smallSite
 		for range rapid.IntRange(1, 12).Draw(t, "changes") {
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
@@ -150,7 +150,7 @@
 	timeOfSite  = regexp.MustCompile(`at 9\dms`)
 )
 
-// drawSite changes a limit, a deadline, or adds or removes a service.
+// drawSite changes a limit or a deadline, or adds or removes a service.
 func drawSite(t *rapid.T, text string) string {
 	const extra = "service extra {\n\tslots 1\n\tconnections 9\n\tgeneration 1 {\n\t\tgroup g {\n\t\t\treplica 127.0.0.9:7000 zone a\n\t\t}\n\t}\n}\n"
 	switch rapid.IntRange(0, 2).Draw(t, "edit") {
@@ -166,11 +166,11 @@
 	}
 }
 
-// TestDamagedTextIsToldAndLeftBehind damages a difference in a voter's state:
-// texts that build on it are an error that says so, and the next change goes
-// whole, so that the history is sound from there on.
-func TestDamagedTextIsToldAndLeftBehind(t *testing.T) {
-	changes := newChanger(t, compilePolicy, state.LatestFormat)
+// TestDamagedTextIsReportedAndNextChangeIsFull damages a delta in a voter's state.
+// Reading a text that builds on it must return an error that says so, and the next
+// change must be stored in full, so that later texts are readable.
+func TestDamagedTextIsReportedAndNextChangeIsFull(t *testing.T) {
+	changes := newChangeHarness(t, compilePolicy, state.LatestFormat)
 	changes.server.logger = discardLogger()
 	for index := range 3 {
 		_, err := changes.server.store.Apply(changes.make(t, strings.Replace(smallSite, "slots 2", fmt.Sprint("slots 2", index), 1)))
@@ -180,24 +180,24 @@
 	require.NotEmpty(t, delta)
 	delta[len(delta)/2] ^= 0xff
 	changes.server.compiled = configurationCache{}
-	_, _, err := changes.server.text(3)
+	_, _, err := changes.server.revisionText(3)
 	require.ErrorContains(t, err, "text of revision 3 can't be read")
 	require.True(t, isDefinite(err))
-	_, kept, err := changes.server.text(2)
+	_, kept, err := changes.server.revisionText(2)
 	require.NoError(t, err)
 	require.True(t, kept)
 
 	_, err = changes.server.store.Apply(changes.make(t, smallSite))
 	require.NoError(t, err)
 	require.Empty(t, changes.server.latest().TextDelta)
-	got, _, err := changes.server.text(4)
+	got, _, err := changes.server.revisionText(4)
 	require.NoError(t, err)
 	require.Equal(t, smallSite, got)
 }
 
-// TestHistoryOfAGroup submits small edits to a group of voters whose log is cut
-// every few entries and whose leader is lost on the way: every text comes back
-// from every leader, and a rollback takes one of them again.
+// TestHistoryOfAGroup submits small edits to a group whose log is compacted every
+// few entries and whose leader crashes halfway. After a restart the leader must
+// return every text, and a rollback must restore one of them.
 func TestHistoryOfAGroup(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 3, func(options *Options) { options.SnapshotEntries = 5 })
@@ -231,39 +231,40 @@
 	latest, err := client.Get(testContext(t), 0)
 	require.NoError(t, err)
 	require.Equal(t, text(2), latest.GetText())
-	differences := 0
+	deltas := 0
 	cluster.leader().process.server.store.read(func(machine *state.Machine) {
 		for revision := range uint64(revisions) {
 			if kept, _ := machine.Revision(revision + 1); len(kept.TextDelta) > 0 {
-				differences++
+				deltas++
 			}
 		}
 	})
-	require.Equal(t, revisions-1, differences)
+	require.Equal(t, revisions-1, deltas)
 }
 
 func requireFormat(t *testing.T, node *testNode, format uint32) {
 	require.Eventually(t, func() bool { return newFormatRaiser(node.process.server).format() == format }, testTimeout, 10*time.Millisecond)
 }
 
-// oldProgram answers like a voter that does not know its newest format.
-type oldProgram struct {
+// fakeVoter reports a given state format, such as that of an older program.
+type fakeVoter struct {
 	martenstagev1connect.UnimplementedConfigServiceHandler
 	id     uint64
 	format uint32
 }
 
-func (p oldProgram) Status(context.Context, *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error) {
-	return connect.NewResponse(&v1.StatusResponse{AnsweredBy: p.id, StateFormat: p.format}), nil
+func (f fakeVoter) Status(context.Context, *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error) {
+	return connect.NewResponse(&v1.StatusResponse{AnsweredBy: f.id, StateFormat: f.format}), nil
 }
 
-// TestFormatWaitsForEveryMember asks members of three kinds: one that does not
-// answer, one of an old program and a new one, alone and together.
+// TestFormatWaitsForEveryMember checks members of three kinds, alone and together:
+// one that does not answer, one that runs an old program and one that supports the
+// latest format.
 func TestFormatWaitsForEveryMember(t *testing.T) {
 	t.Parallel()
 	serve := func(id uint64, format uint32) consensus.MemberStatus {
 		mux := http.NewServeMux()
-		mux.Handle(martenstagev1connect.NewConfigServiceHandler(oldProgram{id: id, format: format}))
+		mux.Handle(martenstagev1connect.NewConfigServiceHandler(fakeVoter{id: id, format: format}))
 		listener, err := net.Listen("tcp4", testaddress.Next().String())
 		require.NoError(t, err)
 		listening := rpc.NewServerOn(listener, mux, rpc.Plaintext(), discardLogger())
@@ -274,28 +275,27 @@
 	listener, err := net.Listen("tcp4", testaddress.Next().String())
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, listener.Close()) })
-	// Connections are accepted, and nothing ever answers.
+	// The listener accepts connections but never answers.
 	silent := consensus.MemberStatus{Member: consensus.Member{ID: 7, Address: listener.Addr().String()}}
 	old, ready := serve(8, 0), serve(9, state.LatestFormat)
 
 	server := newTestCluster(t, 1, nil).leader().process.server
 	raiser := newFormatRaiser(server)
-	require.False(t, raiser.knows(testContext(t), silent))
-	require.False(t, raiser.knows(testContext(t), old))
-	require.True(t, raiser.knows(testContext(t), ready))
+	require.False(t, raiser.supports(testContext(t), silent))
+	require.False(t, raiser.supports(testContext(t), old))
+	require.True(t, raiser.supports(testContext(t), ready))
 	other := ready
 	other.ID = 10 // another voter answers at its address
-	require.False(t, raiser.knows(testContext(t), other))
-	require.False(t, raiser.allKnow(testContext(t), server.voter.Status().ID, []consensus.MemberStatus{ready, old}))
-	require.True(t, raiser.allKnow(testContext(t), server.voter.Status().ID, []consensus.MemberStatus{ready}))
+	require.False(t, raiser.supports(testContext(t), other))
+	require.False(t, raiser.allSupport(testContext(t), server.voter.Status().ID, []consensus.MemberStatus{ready, old}))
+	require.True(t, raiser.allSupport(testContext(t), server.voter.Status().ID, []consensus.MemberStatus{ready}))
 }
 
-// TestRecoveryRepeatsDifferences accepts the latest text again on a state whose
-// latest revision is a difference: text and plan stay, and so does what the
-// history held before.
-func TestRecoveryRepeatsDifferences(t *testing.T) {
+// TestRecoveryResubmitsDeltas resubmits the latest text on a state whose latest
+// revision is a delta. Text, plan and the earlier history must be unchanged.
+func TestRecoveryResubmitsDeltas(t *testing.T) {
 	const lost = 3
-	changes := newChanger(t, compilePolicy, state.LatestFormat)
+	changes := newChangeHarness(t, compilePolicy, state.LatestFormat)
 	var texts []string
 	for index := range 4 {
 		texts = append(texts, strings.Replace(smallSite, "slots 2", fmt.Sprint("slots 2", index), 1))
@@ -304,7 +304,7 @@
 	}
 	machine := changes.server.store.machine
 	require.NotEmpty(t, machine.Latest().TextDelta)
-	require.NoError(t, Recovery{ID: 4, LostChanges: lost}.repeatLatest(machine, time.UnixMilli(1_700_000_000_000)))
+	require.NoError(t, Recovery{ID: 4, LostChanges: lost}.resubmitLatest(machine, time.UnixMilli(1_700_000_000_000)))
 	for range lost {
 		texts = append(texts, texts[3])
 	}
--- a/internal/control/journal_service.go
+++ b/internal/control/journal_service.go
@@ -9,19 +9,19 @@
 	"github.com/martenstage/martenstage/internal/state"
 )
 
-// Bounds of one call that appends events.
+// Limits of one call that appends events.
 const (
 	maxAppendedEvents = 1000
 	maxEventBytes     = 4000
 )
 
-// maxListedEvents is the most that one call lists: all that the journal holds.
+// maxListedEvents is the maximum that one call lists: the journal's capacity.
 const maxListedEvents = 100_000
 
 // journalService implements JournalService.
 type journalService struct{ server *Server }
 
-// Append stores events. One that is there already, by id, is not stored again.
+// Append stores events. An event whose id is already stored is not stored again.
 func (s journalService) Append(
 	ctx context.Context, request *connect.Request[v1.AppendEventsRequest],
 ) (*connect.Response[v1.AppendEventsResponse], error) {
@@ -30,7 +30,7 @@
 	}
 	call := leaderCall[v1.AppendEventsRequest, v1.AppendEventsResponse]{
 		local: s.append,
-		remote: func(leader peers, ctx context.Context, request *connect.Request[v1.AppendEventsRequest]) (*connect.Response[v1.AppendEventsResponse], error) {
+		remote: func(leader voterClients, ctx context.Context, request *connect.Request[v1.AppendEventsRequest]) (*connect.Response[v1.AppendEventsResponse], error) {
 			return leader.events.Append(ctx, request)
 		},
 	}
@@ -64,13 +64,13 @@
 	return &v1.StateCommand{Body: &v1.StateCommand_Events{Events: &v1.EventsCommand{Events: events}}}
 }
 
-// List returns the newest events that match, oldest first.
+// List returns the newest matching events, oldest first.
 func (s journalService) List(
 	ctx context.Context, request *connect.Request[v1.ListEventsRequest],
 ) (*connect.Response[v1.ListEventsResponse], error) {
 	call := leaderCall[v1.ListEventsRequest, v1.ListEventsResponse]{
 		local: s.list,
-		remote: func(leader peers, ctx context.Context, request *connect.Request[v1.ListEventsRequest]) (*connect.Response[v1.ListEventsResponse], error) {
+		remote: func(leader voterClients, ctx context.Context, request *connect.Request[v1.ListEventsRequest]) (*connect.Response[v1.ListEventsResponse], error) {
 			return leader.events.List(ctx, request)
 		},
 	}
@@ -93,9 +93,9 @@
 	return response, nil
 }
 
-func eventsLimit(asked uint32) int {
-	if asked == 0 {
+func eventsLimit(requested uint32) int {
+	if requested == 0 {
 		return defaultListLimit
 	}
-	return int(min(asked, maxListedEvents))
+	return int(min(requested, maxListedEvents))
 }
--- a/internal/control/leader.go
+++ b/internal/control/leader.go
@@ -12,25 +12,25 @@
 	"github.com/martenstage/martenstage/internal/voter"
 )
 
-// headerForwarded marks a call that a voter passed on, so that it makes at most
-// one hop.
+// headerForwarded marks a call that a voter forwarded, so that it is forwarded at
+// most once.
 const headerForwarded = "Martenstage-Forwarded"
 
-// headerAuthor names the operator whose call a voter passed on, when keys are in
-// use. It counts only in a call that a voter made.
+// headerAuthor names the operator whose call a voter forwarded, if TLS keys are in
+// use. It is trusted only in a call made by a voter.
 const headerAuthor = "Martenstage-Author"
 
-// peers are the clients of one voter's services.
-type peers struct {
+// voterClients holds the service clients of one voter.
+type voterClients struct {
 	address string
 	config  martenstagev1connect.ConfigServiceClient
 	claims  martenstagev1connect.ClaimServiceClient
 	events  martenstagev1connect.JournalServiceClient
 }
 
-func newPeers(client *rpc.Client, address string) peers {
+func newVoterClients(client *rpc.Client, address string) voterClients {
 	baseURL, options := client.URL(address), rpc.ClientOptions()
-	return peers{
+	return voterClients{
 		address: address,
 		config:  martenstagev1connect.NewConfigServiceClient(client.HTTP(), baseURL, options),
 		claims:  martenstagev1connect.NewClaimServiceClient(client.HTTP(), baseURL, options),
@@ -39,15 +39,16 @@
 }
 
 // remoteCall makes a call to a voter.
-type remoteCall[Request, Response any] func(peers, context.Context, *connect.Request[Request]) (*connect.Response[Response], error)
+type remoteCall[Request, Response any] func(voterClients, context.Context, *connect.Request[Request]) (*connect.Response[Response], error)
 
-// leaderCall is a call that only the leader answers.
+// leaderCall is a call that only the leader can answer.
 type leaderCall[Request, Response any] struct {
 	local  func(context.Context, *Request) (*Response, error)
 	remote remoteCall[Request, Response]
 }
 
-// do answers the call here when this voter leads, otherwise by the leader.
+// do answers the call locally if this voter leads, otherwise forwards it to the
+// leader.
 func (c leaderCall[Request, Response]) do(
 	ctx context.Context, server *Server, request *connect.Request[Request],
 ) (*connect.Response[Response], error) {
@@ -61,15 +62,15 @@
 	}
 	forwarded := connect.NewRequest(request.Msg)
 	forwarded.Header().Set(headerForwarded, "1")
-	if identity, proved := rpc.IdentityFrom(ctx); proved {
+	if identity, authenticated := rpc.IdentityFrom(ctx); authenticated {
 		forwarded.Header().Set(headerAuthor, identity.Name)
 	}
-	forwarding, cancel := context.WithCancel(ctx)
+	forwardCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go server.cancelAfterLeader(forwarding, cancel, notLeader.LeaderID)
-	answer, err := c.remote(server.peersAt(notLeader.LeaderAddress), forwarding, forwarded)
+	go server.cancelOnLeaderChange(forwardCtx, cancel, notLeader.LeaderID)
+	answer, err := c.remote(server.clientsFor(notLeader.LeaderAddress), forwardCtx, forwarded)
 	if err != nil && !connect.IsWireError(err) && !neverSent(err) {
-		// The call may have reached the leader before the connection broke.
+		// The leader may have received the call before the connection broke.
 		return nil, wireError(errors.Wrap(voter.ErrOutcomeUnknown, "the leader's answer was lost"))
 	}
 	if err != nil {
@@ -78,15 +79,16 @@
 	return connect.NewResponse(answer.Msg), nil
 }
 
-// leaderPoll is how often a call that was passed on looks who leads.
-const leaderPoll = 20 * time.Millisecond
+// leaderPollInterval is how often a forwarded call checks whether the leader has
+// changed.
+const leaderPollInterval = 20 * time.Millisecond
 
-// cancelAfterLeader cancels a call to a leader once this voter no longer follows
-// it: a leader that is cut off without a word would hold the call until its
-// connection counts as broken. The outcome is then not known, so that the caller
-// asks the new leader under the same id.
-func (s *Server) cancelAfterLeader(ctx context.Context, cancel context.CancelFunc, leader uint64) {
-	ticker := time.NewTicker(leaderPoll)
+// cancelOnLeaderChange cancels a call to a leader once this voter no longer
+// follows it. Without this, a leader behind a silent network partition would hold
+// the call until its connection times out. The outcome is then unknown, so the
+// caller retries at the new leader under the same id.
+func (s *Server) cancelOnLeaderChange(ctx context.Context, cancel context.CancelFunc, leader uint64) {
+	ticker := time.NewTicker(leaderPollInterval)
 	defer ticker.Stop()
 	for s.voter.Status().Leader == leader {
 		select {
@@ -98,8 +100,8 @@
 	cancel()
 }
 
-// wireError gives an error the code that clients act on: Aborted when the
-// outcome is not known; all others say that nothing was done.
+// wireError gives an error the status code that clients act on: Aborted if the
+// outcome is unknown; every other code means that nothing was done.
 func wireError(err error) error {
 	var coded *connect.Error
 	var refused *voter.RefusedError
@@ -117,8 +119,8 @@
 	}
 }
 
-// refuse returns an error about the request itself; sending it again is of no
-// use.
+// refuse rejects a request with a status code. In most cases retrying the same
+// request does not help.
 func refuse(code connect.Code, format string, arguments ...any) error {
 	return connect.NewError(code, errors.Newf(format, arguments...))
 }
--- a/internal/control/linearizable_test.go
+++ b/internal/control/linearizable_test.go
@@ -24,43 +24,43 @@
 	}
 }
 
-// claim asks until an answer is definite, like a router.
+// claim retries until an answer is definite, as a router does.
 func (c *Client) claim(ctx context.Context, request *v1.ClaimRequest) (*v1.ClaimResponse, error) {
-	return read(ctx, c, request, func(to peers, ctx context.Context, request *connect.Request[v1.ClaimRequest]) (*connect.Response[v1.ClaimResponse], error) {
+	return read(ctx, c, request, func(to voterClients, ctx context.Context, request *connect.Request[v1.ClaimRequest]) (*connect.Response[v1.ClaimResponse], error) {
 		return to.claims.Claim(ctx, request)
 	})
 }
 
 func (c *Client) settle(ctx context.Context, request *v1.SettleClaimRequest) error {
-	_, err := read(ctx, c, request, func(to peers, ctx context.Context, request *connect.Request[v1.SettleClaimRequest]) (*connect.Response[v1.SettleClaimResponse], error) {
+	_, err := read(ctx, c, request, func(to voterClients, ctx context.Context, request *connect.Request[v1.SettleClaimRequest]) (*connect.Response[v1.SettleClaimResponse], error) {
 		return to.claims.SettleClaim(ctx, request)
 	})
 	return err
 }
 
-// history collects operations of several clients.
+// history collects the operations of several clients.
 type history struct {
 	mutex      sync.Mutex
 	started    time.Time
 	operations []porcupine.Operation
-	// definite counts the operations that were answered.
-	definite int
+	// answered counts the operations with a definite answer.
+	answered int
 }
 
-// What a history must hold at least, so that it can show a fault.
+// Minimum contents of a history, so that it can reveal a fault.
 const (
-	enoughOperations   = 120
-	enoughDisturbances = 4
+	minOperations  = 120
+	minDisruptions = 4
 )
 
-func (h *history) enough() bool {
+func (h *history) sufficient() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.definite >= enoughOperations
+	return h.answered >= minOperations
 }
 
-// run records one operation. One without a definite answer may take effect at
-// any later time, so it never returns in the history.
+// run records one operation. An operation without a definite answer may take
+// effect at any later time, so the history gives it no end.
 func (h *history) run(client int, input any, operation func() (any, error)) {
 	call := time.Since(h.started).Nanoseconds()
 	output, err := operation()
@@ -71,18 +71,18 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if err == nil {
-		h.definite++
+		h.answered++
 	}
 	h.operations = append(h.operations, porcupine.Operation{
 		ClientId: client, Input: input, Call: call, Output: output, Return: returned,
 	})
 }
 
-// disturb crashes, cuts off and restarts leaders until it has done so often
-// enough and the history is long enough. It leaves all voters up.
-func (c *testCluster) disturb(enough func() bool) {
+// disruptLeaders crashes, isolates and restarts leaders until both the disruptions
+// and the history are sufficient. It leaves all voters running.
+func (c *testCluster) disruptLeaders(sufficient func() bool) {
 	pause := func(span time.Duration) { wait.For(context.Background(), span) }
-	for round := 0; round < enoughDisturbances || !enough(); round++ {
+	for round := 0; round < minDisruptions || !sufficient(); round++ {
 		pause(time.Duration(300+rand.IntN(700)) * time.Millisecond)
 		leader := c.leader()
 		if round%2 == 0 {
@@ -91,20 +91,20 @@
 			leader.restart()
 			continue
 		}
-		leader.cut.Store(true)
+		leader.isolated.Store(true)
 		pause(1500 * time.Millisecond)
-		leader.cut.Store(false)
+		leader.isolated.Store(false)
 	}
 }
 
-// load runs clients side by side while leaders are disturbed.
-func (c *testCluster) load(clients int, enough func() bool, step func(ctx context.Context, number int, client *Client, random *rand.Rand)) {
+// runClients runs clients concurrently while leaders are disrupted.
+func (c *testCluster) runClients(clients int, sufficient func() bool, step func(ctx context.Context, number int, client *Client, random *rand.Rand)) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	var running sync.WaitGroup
 	running.Go(func() {
 		defer cancel()
-		c.disturb(func() bool { return enough() || ctx.Err() != nil })
+		c.disruptLeaders(func() bool { return sufficient() || ctx.Err() != nil })
 	})
 	for number := range clients {
 		client := c.client(c.nodes[number%len(c.nodes)], c.nodes[(number+1)%len(c.nodes)])
@@ -120,8 +120,8 @@
 }
 
 func (h *history) check(t *testing.T, model porcupine.Model) {
-	t.Logf("%d operations, %d with a definite answer", len(h.operations), h.definite)
-	require.GreaterOrEqual(t, h.definite, enoughOperations)
+	t.Logf("%d operations, %d with a definite answer", len(h.operations), h.answered)
+	require.GreaterOrEqual(t, h.answered, minOperations)
 	require.Equal(t, porcupine.Ok, porcupine.CheckOperationsTimeout(model, h.operations, testTimeout))
 }
 
@@ -134,7 +134,7 @@
 type registerOutput struct {
 	accepted bool
 	revision uint64
-	id       string // of the latest change, from reads
+	id       string // change id of the latest revision, set by reads
 }
 
 type registerState struct {
@@ -142,19 +142,18 @@
 	id       string
 }
 
-// configurationModel is a register that is set by compare-and-set of its
-// revision.
+// configurationModel is a register that is set by compare-and-set on its revision.
 var configurationModel = porcupine.Model{
 	Init: func() any { return registerState{} },
 	Step: func(state, input, output any) (bool, any) {
-		current, asked := state.(registerState), input.(registerInput)
-		if asked.id == "" {
+		current, request := state.(registerState), input.(registerInput)
+		if request.id == "" {
 			read, known := output.(registerOutput)
 			return !known || read.revision == current.revision && read.id == current.id, current
 		}
 		next := current
-		if asked.expected == current.revision {
-			next = registerState{revision: current.revision + 1, id: asked.id}
+		if request.expected == current.revision {
+			next = registerState{revision: current.revision + 1, id: request.id}
 		}
 		answer, known := output.(registerOutput)
 		valid := !known || answer.accepted == (next != current) && answer.revision == next.revision
@@ -163,14 +162,14 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v -> %+v", input, output) },
 }
 
-// TestConfigurationIsLinearizable checks a history of changes and reads, taken
-// through all voters while leaders crash and are cut off.
+// TestConfigurationIsLinearizable checks a history of changes and reads through
+// all voters while leaders crash and are isolated.
 func TestConfigurationIsLinearizable(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 3, func(options *Options) { options.SnapshotEntries = 50 })
 	recorded := &history{started: time.Now()}
 	var newest sync.Map // the revision that each client saw last
-	cluster.load(6, recorded.enough, func(ctx context.Context, number int, client *Client, random *rand.Rand) {
+	cluster.runClients(6, recorded.sufficient, func(ctx context.Context, number int, client *Client, random *rand.Rand) {
 		ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 		defer cancel()
 		if random.IntN(2) == 0 {
@@ -208,10 +207,10 @@
 	release bool
 }
 
-// claimState is the call that holds an id, and the one that last gave it back.
+// claimState is the call that holds an id, and the last call that released it.
 type claimState struct{ holder, released uint64 }
 
-// claimModel is a lock per id that each call takes at most once.
+// claimModel is a lock per id that each call acquires at most once.
 var claimModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byID := map[string][]porcupine.Operation{}
@@ -227,30 +226,30 @@
 	},
 	Init: func() any { return claimState{} },
 	Step: func(state, input, output any) (bool, any) {
-		current, asked := state.(claimState), input.(claimInput)
-		if asked.release {
-			if current.holder == asked.call {
-				return true, claimState{released: asked.call}
+		current, request := state.(claimState), input.(claimInput)
+		if request.release {
+			if current.holder == request.call {
+				return true, claimState{released: request.call}
 			}
 			return true, current
 		}
-		granted := current.holder == 0 || current.holder == asked.call
+		granted := current.holder == 0 || current.holder == request.call
 		next := current
 		if granted {
-			next.holder = asked.call
+			next.holder = request.call
 		}
 		answer, known := output.(v1.ClaimResult)
 		return !known || (answer == v1.ClaimResult_CLAIM_RESULT_GRANTED) == granted, next
 	},
 }
 
-// TestClaimsAreLinearizable checks a history of claims and releases, taken
-// through all voters while leaders crash and are cut off.
+// TestClaimsAreLinearizable checks a history of claims and releases through all
+// voters while leaders crash and are isolated.
 func TestClaimsAreLinearizable(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 3, func(options *Options) { options.SnapshotEntries = 50 })
 	recorded := &history{started: time.Now()}
-	cluster.load(6, recorded.enough, func(ctx context.Context, number int, client *Client, random *rand.Rand) {
+	cluster.runClients(6, recorded.sufficient, func(ctx context.Context, number int, client *Client, random *rand.Rand) {
 		ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 		defer cancel()
 		input := claimInput{id: fmt.Sprint("request-", random.IntN(40)), call: random.Uint64()}
--- a/internal/control/options.go
+++ b/internal/control/options.go
@@ -37,7 +37,7 @@
 	rpc.SecurityOptions `koanf:",squash"`
 }
 
-// address is where others reach the voter.
+// address returns the address at which others reach the voter.
 func (o *Options) address() string {
 	if o.Advertise != "" {
 		return o.Advertise
@@ -45,9 +45,9 @@
 	return o.Listen
 }
 
-// initialVoters reads the list of voters. An empty folder needs either the list
-// or join: a machine that came up empty by mistake must not found a group of
-// its own beside the one that it belongs to.
+// initialVoters parses the list of voters. An empty data folder requires either
+// the list or join: a machine that lost its data must not create a second group
+// beside the one that it belongs to.
 func (o *Options) initialVoters() ([]consensus.Member, error) {
 	if o.Join {
 		if len(o.Voters) > 0 {
--- a/internal/control/platform.go
+++ b/internal/control/platform.go
@@ -11,12 +11,12 @@
 	"github.com/martenstage/martenstage/internal/settings"
 )
 
-// platformReader hands the platform's list of machines to the server. The list
-// lags, so it can only take machines out of use.
+// platformReader passes the platform's list of machines to the server. The list
+// lags behind, so it is only used to take machines out of use.
 type platformReader struct{ client *machinelist.Client }
 
-// newPlatformReader returns a reader of the list at an address; without one it
-// reads nothing.
+// newPlatformReader returns a reader of the list at an address. An empty address
+// disables it.
 func newPlatformReader(address string, logger logrus.FieldLogger, registerer prometheus.Registerer) (*platformReader, error) {
 	if address == "" {
 		return &platformReader{}, nil
@@ -39,7 +39,7 @@
 	var states map[string]membership.State
 	var known []machinelist.Machine
 	r.client.Run(ctx, func(list machinelist.List) {
-		// A list that has not changed comes with the same machines.
+		// An unchanged list shares its slice of machines with the previous one.
 		if states == nil || !sameMachines(known, list.Machines) {
 			states, known = platformStates(list), list.Machines
 		}
@@ -47,7 +47,7 @@
 	})
 }
 
-// sameMachines reports whether two lists are one in memory.
+// sameMachines reports whether two lists share the same memory.
 func sameMachines(left, right []machinelist.Machine) bool {
 	return len(left) == len(right) && (len(left) == 0 || &left[0] == &right[0])
 }
--- a/internal/control/process.go
+++ b/internal/control/process.go
@@ -25,21 +25,22 @@
 	"github.com/martenstage/martenstage/internal/voter"
 )
 
-// failureBacklog is how many failures may wait for the end of the process.
-const failureBacklog = 8
+// fatalErrorBacklog is how many fatal errors are buffered until the process stops.
+const fatalErrorBacklog = 8
 
-// compiledFileName stands in the messages about a submitted text.
+// compiledFileName is the file name in compiler messages about a submitted text.
 const compiledFileName = "configuration"
 
-// Environment is what a Process needs of the machine. Tests replace the network.
+// Environment holds the logger, metrics and network functions of a Process. Tests
+// replace the network.
 type Environment struct {
 	Logger   *logrus.Logger
 	Registry *prometheus.Registry
-	// Listen opens the voter's listener; net.Listen when nil.
+	// Listen opens the voter's listener; net.Listen if nil.
 	Listen func(network, address string) (net.Listener, error)
-	// Dial connects to other voters; a plain TCP dialer when nil.
+	// Dial connects to other voters; a plain TCP dialer if nil.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Compile is the compiler of the configuration language when nil.
+	// Compile defaults to the compiler of the configuration language.
 	Compile Compiler
 }
 
@@ -67,18 +68,18 @@
 	metrics     net.Listener
 	status      net.Listener
 	platform    *platformReader
-	// failed receives the error that ends the process, at most a few.
-	failed chan error
+	// fatalErrors receives errors that stop the process.
+	fatalErrors chan error
 }
 
-// Open reads the keys, opens the data folder and listens. Errors carry the
+// Open reads the keys, opens the data folder and listens. Its errors carry the
 // exit code of the process.
 func Open(options *Options, environment Environment) (*Process, error) {
 	environment = environment.withDefaults()
 	logger, registry := environment.Logger, environment.Registry
 	process := &Process{
 		options: options, environment: environment, logger: logger, registry: registry,
-		failed: make(chan error, failureBacklog),
+		fatalErrors: make(chan error, fatalErrorBacklog),
 	}
 	initial, err := options.initialVoters()
 	if err != nil {
@@ -105,7 +106,7 @@
 
 func (p *Process) openVoter(initial []consensus.Member) error {
 	store := NewStore(state.DefaultLimits(), plan.FromProto)
-	machine := &stateMachine{store: store, logger: p.logger, stop: p.fail}
+	machine := &stateMachine{store: store, logger: p.logger, onFatal: p.reportFatal}
 	started := time.Now()
 	opened, err := voter.Open(voter.Config{
 		ID:              p.options.ID,
@@ -140,10 +141,10 @@
 		return errors.Wrapf(err, "listen on %s", p.options.Listen)
 	}
 	p.listener = rpc.NewServerOn(listener, mux, p.security, p.logger)
-	if p.metrics, err = listenPlain("metrics-listen", p.options.MetricsListen); err != nil {
+	if p.metrics, err = listenOptional("metrics-listen", p.options.MetricsListen); err != nil {
 		return errors.CombineErrors(err, p.listener.Close())
 	}
-	if p.status, err = listenPlain("status-listen", p.options.StatusListen); err != nil {
+	if p.status, err = listenOptional("status-listen", p.options.StatusListen); err != nil {
 		err = errors.CombineErrors(err, p.listener.Close())
 		if p.metrics != nil {
 			err = errors.CombineErrors(err, p.metrics.Close())
@@ -152,8 +153,9 @@
 	return err
 }
 
-// listenPlain opens a listener of an optional setting; nil when it is empty.
-func listenPlain(key, address string) (net.Listener, error) {
+// listenOptional opens the listener of an optional setting; nil if the address is
+// empty.
+func listenOptional(key, address string) (net.Listener, error) {
 	if address == "" {
 		return nil, nil
 	}
@@ -161,60 +163,61 @@
 	return listener, errors.Wrapf(err, "%s: can't listen on %s", key, address)
 }
 
-// fail asks for the end of the process.
-func (p *Process) fail(err error) {
+// reportFatal requests the stop of the process.
+func (p *Process) reportFatal(err error) {
 	select {
-	case p.failed <- err:
-	default: // the process is ending already
+	case p.fatalErrors <- err:
+	default: // the process is already stopping
 	}
 }
 
-// Address returns the address that is listened on.
+// Address returns the address of the voter's listener.
 func (p *Process) Address() string { return p.listener.Address() }
 
-// Run serves until stopping ends, then hands leadership over, answers the calls
-// under way and closes the data folder. A nil error is a planned stop.
-func (p *Process) Run(stopping context.Context) error {
-	running, cancel := context.WithCancel(context.Background())
+// Run serves until stopCtx ends or a fatal error occurs, then transfers
+// leadership, finishes calls in flight and closes the data folder. A nil error
+// means a planned stop.
+func (p *Process) Run(stopCtx context.Context) error {
+	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var duties sync.WaitGroup
-	duties.Go(func() { p.server.Run(running) })
-	duties.Go(func() { p.platform.run(running, p.server) })
+	var tasks sync.WaitGroup
+	tasks.Go(func() { p.server.Run(runCtx) })
+	tasks.Go(func() { p.platform.run(runCtx, p.server) })
 	if reloader := p.security.Reloader(); reloader != nil {
-		duties.Go(func() { reloader.Run(running) })
+		tasks.Go(func() { reloader.Run(runCtx) })
 	}
-	duties.Go(func() {
+	tasks.Go(func() {
 		if err := p.listener.Serve(); err != nil {
-			p.fail(err)
+			p.reportFatal(err)
 		}
 	})
 	if p.metrics != nil {
 		mux := http.NewServeMux()
 		mux.Handle("/metrics", metrics.Handler(p.registry))
-		duties.Go(func() { p.servePages(running, p.metrics, mux) })
+		tasks.Go(func() { p.servePages(runCtx, p.metrics, mux) })
 	}
 	if p.status != nil {
 		page := statuspage.NewHandler(p.options.ID, p.server.StatusSource(), p.logger)
-		duties.Go(func() { p.servePages(running, p.status, page) })
+		tasks.Go(func() { p.servePages(runCtx, p.status, page) })
 	}
 	p.logger.WithFields(logrus.Fields{
 		logging.FieldRole: "control", logging.FieldNode: p.options.ID, logging.FieldAddress: p.Address(),
 	}).Info("control_started")
 
-	var failure error
+	var fatalErr error
 	select {
-	case <-stopping.Done():
-	case failure = <-p.failed:
+	case <-stopCtx.Done():
+	case fatalErr = <-p.fatalErrors:
 	}
 	err := p.stop(cancel)
-	duties.Wait()
+	tasks.Wait()
 	err = errors.CombineErrors(err, p.server.Close())
-	return errors.CombineErrors(failure, err)
+	return errors.CombineErrors(fatalErr, err)
 }
 
-// stop ends in the order that cuts nobody off: leadership first, while the
-// listener still takes the messages that the handover needs, then the calls
-// under way, then the voter.
+// stop shuts down in the order that interrupts the fewest calls: leadership first,
+// while the listener still receives the messages that the transfer needs, then the
+// calls in flight, then the voter.
 func (p *Process) stop(cancel context.CancelFunc) error {
 	p.logger.Info("control_stopping")
 	ctx, end := context.WithTimeout(context.Background(), p.options.StopLimit)
@@ -228,9 +231,9 @@
 		p.logger.WithError(err).Warn("events_not_stored")
 	}
 	cancel()
-	shutdown, endShutdown := context.WithTimeout(ctx, p.options.StopLimit/2)
+	shutdownCtx, endShutdown := context.WithTimeout(ctx, p.options.StopLimit/2)
 	defer endShutdown()
-	if err := p.listener.Shutdown(shutdown); err != nil {
+	if err := p.listener.Shutdown(shutdownCtx); err != nil {
 		p.logger.WithError(err).Warn("calls_cut_off")
 	}
 	err := p.voter.Close(ctx)
@@ -239,7 +242,8 @@
 	return errors.Wrap(err, "close the data folder")
 }
 
-// leadsOthers reports whether there is leadership to hand over, and to whom.
+// leadsOthers reports whether this voter leads and another active voter could take
+// over.
 func leadsOthers(status voter.Status) bool {
 	return status.Role == consensus.Leader && lo.SomeBy(status.Members, func(member consensus.MemberStatus) bool {
 		return member.ID != status.ID && !member.Learner && member.Active
--- a/internal/control/recorder.go
+++ b/internal/control/recorder.go
@@ -15,15 +15,16 @@
 	"github.com/martenstage/martenstage/internal/spool"
 )
 
-// eventsFolder is the folder of the voter's own events under the data folder.
+// eventsFolder is the subfolder of the data folder for the voter's own events.
 const eventsFolder = "events"
 
-// recorder takes the voter's own events to the replicated journal, by way of
-// the leader. They wait on the voter's disk until a leader has committed them,
-// so that a voter which is killed while there is no quorum loses none.
+// recorder delivers the voter's own events to the replicated journal through the
+// leader. Events stay on the voter's disk until a leader has committed them, so a
+// voter that is killed while there is no quorum loses none.
 type recorder struct{ spool *spool.Spool }
 
-// openRecorder opens the events that an earlier run left in a data folder.
+// openRecorder opens the spool in a data folder, including events left by an
+// earlier run.
 func openRecorder(server *Server, folder string, registerer prometheus.Registerer) (*recorder, error) {
 	deliver := func(ctx context.Context, events []*v1.Event) error {
 		for _, event := range events {
@@ -41,17 +42,17 @@
 	return &recorder{spool: opened}, nil
 }
 
-// Record takes an event. It does not block.
+// Record adds an event. It does not block.
 func (r *recorder) Record(event journal.Event) { r.spool.Record(event) }
 
 // run stores and delivers events until the context ends.
 func (r *recorder) run(ctx context.Context) { r.spool.Run(ctx) }
 
-// flush waits until the events recorded so far are on disk, and for a moment
-// longer until the journal has them.
+// flush waits until the events recorded so far are on disk, and a short time
+// longer for their delivery to the journal.
 func (r *recorder) flush(ctx context.Context) error {
 	return errors.Wrap(r.spool.Flush(ctx), "events")
 }
 
-// close closes the file. run must have returned.
+// close closes the spool file. run must have returned.
 func (r *recorder) close() error { return r.spool.Close() }
--- a/internal/control/recover.go
+++ b/internal/control/recover.go
@@ -15,46 +15,50 @@
 	"github.com/martenstage/martenstage/internal/textdelta"
 )
 
-// recoveryTerms is by how much the term goes up in a recovery, so that it is
-// above any that the lost voters can have reached: without a quorum they raise
-// no term, thanks to the pre-vote.
-const recoveryTerms = 1000
+// recoveryTermIncrement is added to the term in a recovery, so that the new term
+// exceeds any that the lost voters can have reached: pre-vote keeps voters without
+// a quorum from raising the term.
+const recoveryTermIncrement = 1000
 
-// recoveryAuthor is the author of the revisions that a recovery makes.
+// recoveryAuthor is the author of the revisions that a recovery adds.
 const recoveryAuthor = "recovery"
 
-// Recovery founds a new group from the data folder of one voter of a group whose
-// quorum is lost for good, or from a copy of such a folder.
+// Recovery creates a new group from the data folder, or a copy of it, of one voter
+// of a group that has lost its quorum permanently.
 type Recovery struct {
-	// From is the folder of the surviving voter, FromID its id. No process may be
-	// using it, and nothing in it is changed.
+	// From is the data folder of the surviving voter and FromID its id. No process
+	// may be using the folder; it is not modified.
 	From   string
 	FromID uint64
-	// Folder is the new voter's, and must be empty. ID must never have been used.
+	// Folder is the new voter's data folder and must be empty. ID must never have
+	// been used.
 	Folder  string
 	ID      uint64
 	Address string
-	// LostChanges bounds how many accepted changes the survivor can have missed.
-	// The latest text is accepted again that many times, since nodes that hold
-	// one of the lost revisions would take another text of its number for it.
+	// LostChanges is the maximum number of accepted changes that the survivor can
+	// have missed. The latest text is accepted again that many times, because nodes
+	// that hold a lost revision would otherwise confuse it with a new revision of
+	// the same number.
 	LostChanges int
 }
 
-// Recovered tells what a recovery found.
+// Recovered is the result of a recovery.
 type Recovered struct {
-	// LastIndex and LastTerm are those of the survivor's last entry: of several
-	// survivors, the one with the highest term, then index, lost the least.
+	// LastIndex and LastTerm are those of the survivor's last log entry. Of several
+	// survivors, the one with the highest term, then the highest index, lost the
+	// least.
 	LastIndex uint64
 	LastTerm  uint64
-	// Found is the latest revision of the survivor, First the one that the new
-	// group begins with. Both have the same text.
+	// Found is the latest revision of the survivor.
 	Found uint64
+	// First is the first revision of the new group. It has the text of the
+	// survivor's latest revision.
 	First uint64
 }
 
-// Run reads the survivor's folder and writes the new one. Everything in the log
-// counts, whether it is known to be accepted or not. Changes and claims that the
-// survivor does not hold are lost.
+// Run reads the survivor's folder and writes the new one. All log entries are
+// applied, whether or not they are known to be committed. Changes and claims that
+// the survivor does not hold are lost.
 func (r Recovery) Run(now time.Time) (Recovered, error) {
 	if folderIsEmpty(r.From) {
 		return Recovered{}, exitcode.With(exitcode.DataFolder, errors.Newf("there is no state in %s", r.From))
@@ -66,11 +70,11 @@
 	if err != nil {
 		return Recovered{}, err
 	}
-	found, err := r.found(restored, now)
-	return found, errors.CombineErrors(err, log.Close())
+	recovered, err := r.createGroup(restored, now)
+	return recovered, errors.CombineErrors(err, log.Close())
 }
 
-func (r Recovery) found(restored consensus.Restored, now time.Time) (Recovered, error) {
+func (r Recovery) createGroup(restored consensus.Restored, now time.Time) (Recovered, error) {
 	survivor, err := readSurvivor(restored)
 	if err != nil {
 		return Recovered{}, err
@@ -80,7 +84,7 @@
 	if err != nil {
 		return Recovered{}, err
 	}
-	if err := r.repeatLatest(survivor.machine, now); err != nil {
+	if err := r.resubmitLatest(survivor.machine, now); err != nil {
 		return Recovered{}, err
 	}
 	recovered.First = survivor.machine.Latest().Number
@@ -88,7 +92,7 @@
 	if err != nil {
 		return Recovered{}, err
 	}
-	term := max(restored.HardState.Term, survivor.term) + recoveryTerms
+	term := max(restored.HardState.Term, survivor.term) + recoveryTermIncrement
 	log, _, err := raftlog.Open(raftlog.Options{Folder: r.Folder, VoterID: r.ID})
 	if err != nil {
 		return Recovered{}, err
@@ -101,28 +105,29 @@
 	return recovered, errors.CombineErrors(err, log.Close())
 }
 
-// membership returns that of the new group. The old ids are never used again, so
-// that messages of old voters that come back are for nobody.
+// membership returns the membership of the new group. It lists the old ids as
+// removed, so that they are never reused and messages of returning old voters
+// match no member.
 func (r Recovery) membership(old consensus.Membership) (consensus.Membership, error) {
-	founded := consensus.NewMembership([]consensus.Member{{ID: r.ID, Address: r.Address}})
-	founded.Removed = append(founded.Removed, old.Removed...)
+	created := consensus.NewMembership([]consensus.Member{{ID: r.ID, Address: r.Address}})
+	created.Removed = append(created.Removed, old.Removed...)
 	for _, member := range old.Members {
-		founded.Removed = append(founded.Removed, member.ID)
+		created.Removed = append(created.Removed, member.ID)
 	}
-	for _, used := range founded.Removed {
+	for _, used := range created.Removed {
 		if used == r.ID {
-			return founded, exitcode.With(exitcode.Usage, errors.Newf("voter id %d was used before; choose a new one", r.ID))
+			return created, exitcode.With(exitcode.Usage, errors.Newf("voter id %d was used before; choose a new one", r.ID))
 		}
 	}
-	return founded, nil
+	return created, nil
 }
 
-// repeatLatest accepts the latest text again under higher numbers.
-func (r Recovery) repeatLatest(machine *state.Machine, now time.Time) error {
+// resubmitLatest accepts the latest text again under higher revision numbers.
+func (r Recovery) resubmitLatest(machine *state.Machine, now time.Time) error {
 	if machine.Latest().Number == 0 {
 		return nil
 	}
-	again, err := newRepetition(machine)
+	resubmitted, err := newResubmission(machine)
 	if err != nil {
 		return err
 	}
@@ -133,7 +138,7 @@
 			ChangeId: id, ExpectedRevision: latest.Number, RequestHash: state.ApplyHash(id, 0),
 			Author: recoveryAuthor, Comment: fmt.Sprintf("revision %d again, after the loss of the quorum", latest.Number),
 		}
-		if err := again.encode(command, machine); err != nil {
+		if err := resubmitted.encode(command, machine); err != nil {
 			return err
 		}
 		data, err := state.Encode(now, &v1.StateCommand{Body: &v1.StateCommand_Change{Change: command}})
@@ -147,28 +152,28 @@
 	return nil
 }
 
-// repetition is the latest text and plan, to be submitted again: whole, and the
-// text as its difference from itself.
-type repetition struct {
+// resubmission holds the latest text and plan for resubmission: both in full, and
+// the text also as a delta without changes.
+type resubmission struct {
 	text, plan []byte
 	unchanged  []byte
 }
 
-func newRepetition(machine *state.Machine) (again repetition, err error) {
-	if again.text, again.plan, err = wholeLatest(machine); err != nil {
-		return again, err
+func newResubmission(machine *state.Machine) (latest resubmission, err error) {
+	if latest.text, latest.plan, err = latestFull(machine); err != nil {
+		return latest, err
 	}
-	unpacked, err := decompress(again.text)
+	unpacked, err := decompress(latest.text)
 	if err != nil {
-		return again, err
+		return latest, err
 	}
-	again.unchanged, err = textdelta.Make(string(unpacked), string(unpacked))
-	return again, err
+	latest.unchanged, err = textdelta.Make(string(unpacked), string(unpacked))
+	return latest, err
 }
 
-// encode puts text and plan into a change, as differences where these fit, so
-// that the history keeps its older texts.
-func (r repetition) encode(command *v1.ChangeCommand, machine *state.Machine) error {
+// encode stores text and plan in a change, as deltas if the history has capacity
+// for them, so that it retains its older texts.
+func (r resubmission) encode(command *v1.ChangeCommand, machine *state.Machine) error {
 	unchanged, err := proto.Marshal(&v1.PlanDelta{BaseRevision: command.GetExpectedRevision()})
 	if err != nil {
 		return err
@@ -189,23 +194,23 @@
 }
 
 func readSurvivor(restored consensus.Restored) (survivor, error) {
-	read := survivor{machine: state.New(state.DefaultLimits())}
+	result := survivor{machine: state.New(state.DefaultLimits())}
 	if snapshot := restored.Snapshot; snapshot != nil {
-		if err := read.machine.Restore(snapshot.Data); err != nil {
-			return read, err
+		if err := result.machine.Restore(snapshot.Data); err != nil {
+			return result, err
 		}
-		read.membership, read.index, read.term = snapshot.Membership, snapshot.Index, snapshot.Term
+		result.membership, result.index, result.term = snapshot.Membership, snapshot.Index, snapshot.Term
 	}
 	for _, entry := range restored.Entries {
-		if entry.Index <= read.index {
+		if entry.Index <= result.index {
 			continue
 		}
-		read.index, read.term = entry.Index, entry.Term
-		if err := read.apply(entry); err != nil {
-			return read, errors.Wrapf(err, "log entry %d", entry.Index)
+		result.index, result.term = entry.Index, entry.Term
+		if err := result.apply(entry); err != nil {
+			return result, errors.Wrapf(err, "log entry %d", entry.Index)
 		}
 	}
-	return read, nil
+	return result, nil
 }
 
 func (s *survivor) apply(entry consensus.Entry) (err error) {
--- a/internal/control/recover_test.go
+++ b/internal/control/recover_test.go
@@ -12,8 +12,8 @@
 	v1 "github.com/martenstage/martenstage/internal/gen/martenstage/v1"
 )
 
-// TestRecoveryFromOneVoter loses two of three voters for good, founds a new
-// group from the third one's folder, and lets another machine join it.
+// TestRecoveryFromOneVoter crashes all three voters, creates a new group from the
+// data folder of one of them, and adds a new voter to it.
 func TestRecoveryFromOneVoter(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 3, func(options *Options) { options.SnapshotEntries = 4 })
@@ -44,14 +44,14 @@
 	_, err = recovery.Run(time.Now())
 	require.Equal(t, exitcode.DataFolder, exitcode.Of(err), "a folder that is not empty: %v", err)
 
-	founder := &testNode{t: t, options: survivor.options, cut: survivor.cut, network: cluster.network}
-	founder.options.ID, founder.options.DataFolder, founder.options.Voters = 4, recovery.Folder, nil
-	founder.restart()
-	t.Cleanup(founder.crash)
+	firstVoter := &testNode{t: t, options: survivor.options, isolated: survivor.isolated, network: cluster.network}
+	firstVoter.options.ID, firstVoter.options.DataFolder, firstVoter.options.Voters = 4, recovery.Folder, nil
+	firstVoter.restart()
+	t.Cleanup(firstVoter.crash)
 	joining := newTestClusterOn(t, cluster.network, 1, func(options *Options) {
 		options.ID, options.Voters, options.Join = 5, nil, true
 	}).nodes[0]
-	client := cluster.client(founder)
+	client := cluster.client(firstVoter)
 	voters, err := client.AddVoter(testContext(t), 5, joining.options.Listen)
 	require.NoError(t, err)
 	require.Len(t, voters, 2)
--- a/internal/control/replication.go
+++ b/internal/control/replication.go
@@ -17,38 +17,38 @@
 	"github.com/martenstage/martenstage/internal/voter"
 )
 
-// stateMachine lets a voter drive a Store.
+// stateMachine connects a voter to a Store.
 type stateMachine struct {
 	store  *Store
 	logger logrus.FieldLogger
-	// stop ends the process; called at most once.
-	stop   func(error)
-	failed error
+	// onFatal stops the process; called at most once.
+	onFatal  func(error)
+	applyErr error
 }
 
 var _ voter.StateMachine = (*stateMachine)(nil)
 
-// Apply returns a state.Result, or an error once the log can't be followed any
-// more. From then on nothing is applied, so that the state stays that of a
-// whole prefix of the log.
+// Apply returns a state.Result, or an error once an entry can't be applied. After
+// an error nothing more is applied, so the state always corresponds to a complete
+// prefix of the log.
 func (m *stateMachine) Apply(index uint64, data []byte) any {
-	if m.failed != nil {
-		return m.failed
+	if m.applyErr != nil {
+		return m.applyErr
 	}
 	result, err := m.store.Apply(data)
 	if err != nil {
-		m.failed = errors.Wrapf(err, "log entry %d can't be applied", index)
-		m.logger.WithError(m.failed).Error("the voter stops")
-		m.stop(m.failed)
-		return m.failed
+		m.applyErr = errors.Wrapf(err, "log entry %d can't be applied", index)
+		m.logger.WithError(m.applyErr).Error("the voter stops")
+		m.onFatal(m.applyErr)
+		return m.applyErr
 	}
 	return result
 }
 
 // Snapshot encodes the state.
 func (m *stateMachine) Snapshot() ([]byte, error) {
-	if m.failed != nil {
-		return nil, m.failed
+	if m.applyErr != nil {
+		return nil, m.applyErr
 	}
 	return m.store.Snapshot()
 }
@@ -56,19 +56,19 @@
 // Restore replaces the state.
 func (m *stateMachine) Restore(data []byte) error { return m.store.Restore(data) }
 
-// Bounds of one call that carries messages to another voter. The time grows
-// with the size, since a snapshot of the whole state is one message.
+// Limits of one call that carries messages to another voter. The timeout grows
+// with the size, since a snapshot of the complete state is one message.
 const (
-	deliverTimeout   = 500 * time.Millisecond
-	deliverBytesRate = 10 << 20 // bytes per second
-	// deliverCallBytes is from which size on further messages go into another
-	// call; maxDeliverBytes is the most that is received in one.
-	deliverCallBytes = 4 << 20
-	maxDeliverBytes  = consensus.DefaultMaxSnapshotBytes + 2*deliverCallBytes
+	deliverTimeout        = 500 * time.Millisecond
+	deliverBytesPerSecond = 10 << 20 // bytes per second
+	// deliverBatchBytes is the size after which further messages go into another
+	// call; maxDeliverBytes is the maximum size that is received in one call.
+	deliverBatchBytes = 4 << 20
+	maxDeliverBytes   = consensus.DefaultMaxSnapshotBytes + 2*deliverBatchBytes
 )
 
-// transport carries messages to other voters over ConsensusService. The voter
-// calls Send from one goroutine per receiver, so a slow one delays no other.
+// transport sends messages to other voters over ConsensusService. The voter calls
+// Send from one goroutine per receiver, so a slow receiver does not delay others.
 type transport struct {
 	client *rpc.Client
 	logger logrus.FieldLogger
@@ -76,12 +76,12 @@
 
 var _ voter.Transport = transport{}
 
-// Send delivers messages in order, a few megabytes in one call. A failure loses
-// the rest of them, which the protocol allows for.
+// Send delivers messages in order, in calls of a few megabytes. After a failure
+// the remaining messages are dropped, which the consensus protocol tolerates.
 func (t transport) Send(to uint64, address string, messages [][]byte) {
 	for len(messages) > 0 {
 		count, size := 0, 0
-		for count < len(messages) && size < deliverCallBytes {
+		for count < len(messages) && size < deliverBatchBytes {
 			size += len(messages[count])
 			count++
 		}
@@ -93,7 +93,7 @@
 }
 
 func (t transport) deliver(to uint64, address string, messages [][]byte, size int) bool {
-	timeout := deliverTimeout + time.Duration(size)*time.Second/deliverBytesRate
+	timeout := deliverTimeout + time.Duration(size)*time.Second/deliverBytesPerSecond
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	service := martenstagev1connect.NewConsensusServiceClient(t.client.HTTP(), t.client.URL(address), rpc.ClientOptions())
@@ -107,7 +107,7 @@
 // consensusService implements ConsensusService.
 type consensusService struct{ voter *voter.Voter }
 
-// Deliver takes in messages of another voter.
+// Deliver receives messages from another voter.
 func (s consensusService) Deliver(
 	_ context.Context, request *connect.Request[v1.DeliverRequest],
 ) (*connect.Response[v1.DeliverResponse], error) {
@@ -115,7 +115,7 @@
 	return connect.NewResponse(&v1.DeliverResponse{}), nil
 }
 
-// propose replicates a command and returns what applying it gave.
+// propose replicates a command and returns the result of applying it.
 func (s *Server) propose(ctx context.Context, command *v1.StateCommand) (state.Result, error) {
 	data, err := state.Encode(s.config.Clock(), command)
 	if err != nil {
@@ -129,16 +129,16 @@
 	case state.Result:
 		return applied, nil
 	case error:
-		// Committed, but this voter can't tell with what result.
+		// The command is committed, but its result is not known here.
 		return state.Result{}, errors.Wrapf(voter.ErrOutcomeUnknown, "%v", applied)
 	default:
 		return state.Result{}, errors.Wrapf(voter.ErrOutcomeUnknown, "unexpected result %T", applied)
 	}
 }
 
-// confirm returns the term once a quorum has confirmed, after the call began,
-// that this voter leads, and once everything committed before is applied.
-// Concurrent calls share confirmations. Its errors mean that nothing was done.
+// confirm returns the term after a quorum has confirmed, since the call began,
+// that this voter leads, and after everything committed before is applied.
+// Concurrent calls share confirmations. An error means that nothing was done.
 func (s *Server) confirm(ctx context.Context) (uint64, error) { return s.confirmer.Confirm(ctx) }
 
 func (s *Server) confirmOnce(ctx context.Context) (uint64, error) {
@@ -149,8 +149,8 @@
 		}
 		return 0, connect.NewError(connect.CodeUnavailable, errors.Wrap(err, "leadership is not confirmed"))
 	}
-	// Should this voter have been deposed and elected again since, the later
-	// election proves its lead as well as the confirmation did.
+	// If this voter was deposed and re-elected since the confirmation, the later
+	// election proves its leadership as well.
 	status := s.voter.Status()
 	if status.Role != consensus.Leader {
 		return 0, &voter.NotLeaderError{LeaderID: status.Leader, LeaderAddress: status.LeaderAddress}
@@ -158,7 +158,7 @@
 	return status.Term, nil
 }
 
-// leadership gives leases the confirmation in their own terms.
+// leadership adapts confirm to the interface that leases use.
 type leadership struct{ server *Server }
 
 var _ follower.Leadership = leadership{}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -21,25 +21,26 @@
 	"github.com/martenstage/martenstage/internal/voter"
 )
 
-// Compiler turns a configuration text into a plan, or says what is wrong.
+// Compiler compiles a configuration text into a plan, or returns why it is
+// invalid.
 type Compiler func(text string) (*plan.Plan, error)
 
-// Config sets up a Server.
+// Config configures a Server.
 type Config struct {
-	// ID of the voter.
+	// ID is the voter's id.
 	ID uint64
-	// ClaimBatch is how many claims one commit holds at most.
+	// ClaimBatch is the maximum number of claims in one commit.
 	ClaimBatch int
-	// Lease is how long a granted lease lasts.
+	// Lease is the duration of a granted lease.
 	Lease time.Duration
-	// Folder is the voter's data folder, which also keeps its own events until
+	// Folder is the voter's data folder. It also stores the voter's own events until
 	// the journal has them.
 	Folder string
-	// Clock stamps commands; time.Now when nil.
+	// Clock provides the timestamps of commands; time.Now if nil.
 	Clock func() time.Time
 }
 
-// Dependencies are the parts that a Server joins.
+// Dependencies are the components that a Server uses.
 type Dependencies struct {
 	Voter   *voter.Voter
 	Store   *Store
@@ -50,7 +51,7 @@
 	Registerer prometheus.Registerer
 }
 
-// Server answers operators, routers, relays and other voters on one voter.
+// Server serves operators, routers, relays and other voters on one voter.
 type Server struct {
 	config  Config
 	voter   *voter.Voter
@@ -66,11 +67,11 @@
 	recorder  *recorder
 	root      *follower.Root
 
-	mutex sync.Mutex
-	peers map[string]peers
+	mutex        sync.Mutex
+	voterClients map[string]voterClients
 }
 
-// New returns a server. Mount its services, call Run, and Close after it.
+// New returns a server. Call Mount, then Run, and Close after Run has returned.
 func New(config Config, dependencies Dependencies) (*Server, error) {
 	if config.Clock == nil {
 		config.Clock = time.Now
@@ -79,13 +80,13 @@
 		config.ClaimBatch = defaultClaimBatch
 	}
 	server := &Server{
-		config:  config,
-		voter:   dependencies.Voter,
-		store:   dependencies.Store,
-		compile: dependencies.Compile,
-		client:  dependencies.Client,
-		logger:  dependencies.Logger,
-		peers:   map[string]peers{},
+		config:       config,
+		voter:        dependencies.Voter,
+		store:        dependencies.Store,
+		compile:      dependencies.Compile,
+		client:       dependencies.Client,
+		logger:       dependencies.Logger,
+		voterClients: map[string]voterClients{},
 	}
 	server.confirmer = &confirmer{confirm: server.confirmOnce}
 	server.claims = newClaimBatcher(config.ClaimBatch, server.propose, dependencies.Registerer)
@@ -107,17 +108,17 @@
 	return server, nil
 }
 
-// name is the voter's name in events and to its followers.
+// name returns the voter's name in events and to its followers.
 func (s *Server) name() string { return fmt.Sprintf("control-%d", s.config.ID) }
 
-// Close closes the voter's own events. Run must have returned.
+// Close closes the spool of the voter's own events. Run must have returned.
 func (s *Server) Close() error { return s.recorder.close() }
 
-// Mount registers the services, each for the roles that may call it.
+// Mount registers the services, each with the roles that may call it.
 func (s *Server) Mount(mux *http.ServeMux, security *rpc.Security) {
 	options := rpc.HandlerOptions()
 	mount := func(path string, handler http.Handler, roles ...keys.Role) {
-		// Other voters pass on calls of every kind.
+		// Other voters forward calls of every kind.
 		mux.Handle(path, rpc.RequireRole(security, handler, append(roles, keys.RoleControl)...))
 	}
 	path, handler := martenstagev1connect.NewConfigServiceHandler(configService{s}, options)
@@ -135,18 +136,18 @@
 
 // Run commits claims, records events and serves leases until the context ends.
 func (s *Server) Run(ctx context.Context) {
-	duties := []func(context.Context){
+	tasks := []func(context.Context){
 		s.claims.run,
 		s.recorder.run,
 		newGroupWatcher(s).run,
 		newFormatRaiser(s).run,
-		s.spreadDrains,
+		s.publishDrains,
 		s.root.Run,
 	}
 	s.recorder.spool.RecordStart(fmt.Sprintf("voter %d started", s.config.ID))
 	var running sync.WaitGroup
-	for _, duty := range duties {
-		running.Go(func() { duty(ctx) })
+	for _, task := range tasks {
+		running.Go(func() { task(ctx) })
 	}
 	running.Wait()
 }
@@ -154,8 +155,9 @@
 // SetPlatform replaces the platform's list of machines.
 func (s *Server) SetPlatform(list map[string]membership.State) { s.root.SetPlatform(list) }
 
-// spreadDrains tells the followers' tables of operators' drain marks.
-func (s *Server) spreadDrains(ctx context.Context) {
+// publishDrains copies operators' drain marks into the machine table that
+// followers receive.
+func (s *Server) publishDrains(ctx context.Context) {
 	marked := map[string]bool{}
 	for {
 		drains, _, changed := s.store.Drains()
@@ -178,7 +180,7 @@
 	}
 }
 
-func (s *Server) firstResult(id string, hash []byte) (result state.ChangeResult, known bool) {
+func (s *Server) recordedResult(id string, hash []byte) (result state.ChangeResult, known bool) {
 	s.store.read(func(machine *state.Machine) { result, known = machine.ChangeResult(id, hash) })
 	return result, known
 }
@@ -193,12 +195,12 @@
 	return revision, kept
 }
 
-// authenticate checks that the caller may act as an operator and sets the
-// author. A voter that passes a call on has authenticated its author already;
-// without keys, operators are taken at their word.
+// authenticate checks that the caller may act as an operator and sets the author.
+// A voter that forwards a call has already authenticated its author. Without TLS
+// keys, the author in the request is accepted as it is.
 func authenticate(ctx context.Context, header http.Header, author *string) error {
-	identity, proved := rpc.IdentityFrom(ctx)
-	if !proved {
+	identity, authenticated := rpc.IdentityFrom(ctx)
+	if !authenticated {
 		return nil
 	}
 	if identity.Role == keys.RoleControl && header.Get(headerForwarded) != "" {
@@ -212,14 +214,14 @@
 	return nil
 }
 
-// peersAt returns the clients of the voter at an address.
-func (s *Server) peersAt(address string) peers {
+// clientsFor returns the clients of the voter at an address.
+func (s *Server) clientsFor(address string) voterClients {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known, ok := s.peers[address]
+	known, ok := s.voterClients[address]
 	if !ok {
-		known = newPeers(s.client, address)
-		s.peers[address] = known
+		known = newVoterClients(s.client, address)
+		s.voterClients[address] = known
 	}
 	return known
 }
--- a/internal/control/status_page.go
+++ b/internal/control/status_page.go
@@ -14,21 +14,21 @@
 	"github.com/martenstage/martenstage/internal/statuspage"
 )
 
-// confirmedLimit is how long the status page waits for the confirmed leader
-// before it shows this voter's own view.
-const confirmedLimit = 2 * time.Second
+// confirmedTimeout is how long the status page waits for the confirmed leader
+// before it falls back to this voter's local view.
+const confirmedTimeout = 2 * time.Second
 
-// pageSource is what the status page of a voter is made of.
+// pageSource provides the data of a voter's status page.
 type pageSource struct{ server *Server }
 
-// StatusSource returns what the voter's status page is made of.
+// StatusSource returns the data source of the voter's status page.
 func (s *Server) StatusSource() statuspage.Source { return pageSource{s} }
 
 // Status implements statuspage.Source.
 func (p pageSource) Status(ctx context.Context) (*v1.StatusResponse, error) {
-	confirmed, cancel := context.WithTimeout(ctx, confirmedLimit)
+	confirmedCtx, cancel := context.WithTimeout(ctx, confirmedTimeout)
 	defer cancel()
-	response, err := configService(p).Status(confirmed, connect.NewRequest(&v1.StatusRequest{}))
+	response, err := configService(p).Status(confirmedCtx, connect.NewRequest(&v1.StatusRequest{}))
 	if err != nil {
 		response, err = configService(p).Status(ctx, connect.NewRequest(&v1.StatusRequest{Local: true}))
 	}
@@ -46,7 +46,7 @@
 
 // Events implements statuspage.Source.
 func (p pageSource) Events(ctx context.Context, service string, limit uint32) ([]*v1.Event, error) {
-	ctx, cancel := context.WithTimeout(ctx, confirmedLimit)
+	ctx, cancel := context.WithTimeout(ctx, confirmedTimeout)
 	defer cancel()
 	response, err := journalService(p).List(ctx, connect.NewRequest(&v1.ListEventsRequest{Service: service, Limit: limit}))
 	if err != nil {
@@ -55,8 +55,8 @@
 	return response.Msg.GetEvents(), nil
 }
 
-// servePages serves plain HTTP for people and collectors until the context
-// ends.
+// servePages serves plain HTTP to browsers and metrics collectors until the
+// context ends.
 func (p *Process) servePages(ctx context.Context, listener net.Listener, handler http.Handler) {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
 	context.AfterFunc(ctx, func() { _ = server.Close() })
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -11,34 +11,33 @@
 	"github.com/martenstage/martenstage/internal/state"
 )
 
-// Store is the applied state of a voter. The voter applies committed commands
-// to it, services read it.
+// Store is the applied state of a voter. The voter applies committed commands to
+// it and services read it.
 type Store struct {
 	mutex   sync.RWMutex
 	machine *state.Machine
 	decode  func(*v1.Plan) (*plan.Plan, error)
 
-	latest   *plan.Plan
-	revision uint64
-	changed  chan struct{}
-	drains   uint64
+	latest        *plan.Plan
+	revision      uint64
+	planChanged   chan struct{}
+	drainsVersion uint64
 	// drainsChanged is closed when the drain marks change.
 	drainsChanged chan struct{}
 }
 
-// NewStore returns the empty state. Decode turns the wire form of a plan into
-// the plan.
+// NewStore returns an empty store. decode converts the wire form of a plan.
 func NewStore(limits state.Limits, decode func(*v1.Plan) (*plan.Plan, error)) *Store {
 	return &Store{
 		machine:       state.New(limits),
 		decode:        decode,
-		changed:       make(chan struct{}),
+		planChanged:   make(chan struct{}),
 		drainsChanged: make(chan struct{}),
 	}
 }
 
 // Apply applies one committed command. An error means that this program can't
-// follow the log; the voter must stop.
+// apply the log any further and the voter must stop.
 func (s *Store) Apply(data []byte) (state.Result, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -56,7 +55,7 @@
 	return s.machine.Snapshot()
 }
 
-// Restore replaces the state by a snapshot.
+// Restore replaces the state with a snapshot.
 func (s *Store) Restore(data []byte) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -66,10 +65,10 @@
 	return s.publish()
 }
 
-// publish wakes those who wait for a newer plan or newer drain marks.
+// publish notifies waiters of a newer plan or changed drain marks.
 func (s *Store) publish() error {
-	if version := s.machine.DrainsVersion(); version != s.drains {
-		s.drains = version
+	if version := s.machine.DrainsVersion(); version != s.drainsVersion {
+		s.drainsVersion = version
 		close(s.drainsChanged)
 		s.drainsChanged = make(chan struct{})
 	}
@@ -82,23 +81,24 @@
 		return err
 	}
 	s.latest, s.revision = decoded, latest
-	close(s.changed)
-	s.changed = make(chan struct{})
+	close(s.planChanged)
+	s.planChanged = make(chan struct{})
 	return nil
 }
 
-// latestPlan returns the plan of the latest revision. A difference from the plan
-// that is published costs only what differs; anything else is read whole.
+// latestPlan returns the plan of the latest revision. If the revision follows the
+// published one, only its delta is applied; otherwise the full plan is decoded
+// first.
 func (s *Store) latestPlan(revision uint64) (*plan.Plan, error) {
 	deltas := s.machine.PlanDeltas()
 	if len(deltas) > 0 && s.latest != nil && revision == s.revision+1 {
 		return configdelta.ApplyPlan(s.latest, s.revision, deltas[len(deltas)-1])
 	}
-	whole, err := s.decodePlan(s.machine.CompressedPlan())
+	full, err := s.decodePlan(s.machine.CompressedPlan())
 	if err != nil {
 		return nil, err
 	}
-	return configdelta.ApplyPlans(whole, revision, deltas)
+	return configdelta.ApplyPlans(full, revision, deltas)
 }
 
 func (s *Store) decodePlan(compressed []byte) (*plan.Plan, error) {
@@ -113,16 +113,16 @@
 	return s.decode(wire)
 }
 
-// Latest returns the newest applied revision with its plan, and a channel that
-// is closed once a newer one is applied. Revision 0 has no plan.
+// Latest returns the newest applied revision with its plan, and a channel that is
+// closed once a newer one is applied. Revision 0 has no plan.
 func (s *Store) Latest() (revision uint64, latest *plan.Plan, changed <-chan struct{}) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
-	return s.revision, s.latest, s.changed
+	return s.revision, s.latest, s.planChanged
 }
 
-// Drains returns the operators' drain marks, their version, and a channel that
-// is closed once they change.
+// Drains returns the operators' drain marks, their version, and a channel that is
+// closed once they change.
 func (s *Store) Drains() (marks []state.Drain, version uint64, changed <-chan struct{}) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
@@ -130,7 +130,7 @@
 	return marks, version, s.drainsChanged
 }
 
-// read runs a reader under the lock. The reader must not keep the machine.
+// read calls reader under the read lock. The reader must not retain the machine.
 func (s *Store) read(reader func(*state.Machine)) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
