--- a/internal/controlclient/claims.go
+++ b/internal/controlclient/claims.go
@@ -23,23 +23,23 @@
 )
 
 const (
-	// releaseRing bounds the claims that wait to be given back. The oldest are
-	// dropped: they stay held until they expire, which refuses more than
-	// needed but runs nothing twice.
-	releaseRing = 4096
-	// releaseTimeout bounds the giving back of one claim.
+	// releaseQueueCapacity bounds the claims that wait to be released. The oldest
+	// are dropped and stay held until they expire, which rejects more requests than
+	// necessary but runs none twice.
+	releaseQueueCapacity = 4096
+	// releaseTimeout bounds the release of one claim.
 	releaseTimeout = 10 * time.Second
-	// sweepFrom is the number of held claims from which expired ones are
-	// looked for.
-	sweepFrom = 4096
+	// minSweepSize is the smallest number of held claims at which expired ones are
+	// removed.
+	minSweepSize = 4096
 )
 
 // ErrNotHeld is returned by Settle for a claim that this router does not hold.
 var ErrNotHeld = errors.New("this router does not hold the claim")
 
-// Claims is the router's claim registry at control. Every call has a number of
-// its own, and a call that is sent again repeats it, so that control recognizes
-// it: a lost answer does not turn the router's own claim against it.
+// Claims is the router's claim registry at control. Every call has a unique number
+// that its retries repeat, so that control recognizes them: after a lost answer, a
+// retry is not refused because of the router's own claim.
 type Claims struct {
 	voters   *Voters
 	holder   string
@@ -48,9 +48,9 @@
 	releases *ring.Ring[*v1.SettleClaimRequest]
 	dropped  prometheus.Counter
 
-	mutex   sync.Mutex
-	held    map[string]heldClaim
-	sweepAt int
+	mutex         sync.Mutex
+	held          map[string]heldClaim
+	nextSweepSize int
 }
 
 type heldClaim struct {
@@ -58,8 +58,8 @@
 	expires time.Time
 }
 
-// NewClaims returns the registry of one run of a router, named by its name and
-// boot number. Run must run beside it.
+// NewClaims returns the registry of one incarnation of a router, identified by its
+// name and boot number. Run must be running while it is used.
 func NewClaims(
 	voters *Voters, holder string, logger logrus.FieldLogger, registerer prometheus.Registerer,
 ) *Claims {
@@ -67,22 +67,22 @@
 		voters:   voters,
 		holder:   holder,
 		logger:   logger,
-		releases: ring.New[*v1.SettleClaimRequest](releaseRing),
+		releases: ring.New[*v1.SettleClaimRequest](releaseQueueCapacity),
 		dropped: promauto.With(registerer).NewCounter(prometheus.CounterOpts{
 			Name: "martenstage_claim_releases_dropped_total",
 			Help: "Claims that were not given back because too many waited; they last until they expire.",
 		}),
-		held:    make(map[string]heldClaim),
-		sweepAt: sweepFrom,
+		held:          make(map[string]heldClaim),
+		nextSweepSize: minSweepSize,
 	}
 }
 
-// Holder names one run of a router as the holder of claims.
+// Holder returns the claim holder's name for one incarnation of a router.
 func Holder(name string, boot uint64) string { return fmt.Sprintf("%s/%d", name, boot) }
 
-// Claim implements router.ClaimRegistry. When no voter answers before the
-// context ends, the claim may have been granted all the same; it is then given
-// back by Run, since nothing was dispatched.
+// Claim implements router.ClaimRegistry. If no voter answers before the context
+// ends, the claim may still have been granted. Run then releases it, since nothing
+// was dispatched.
 func (c *Claims) Claim(ctx context.Context, request router.ClaimRequest) query.ClaimDecision {
 	message := &v1.ClaimRequest{
 		RequestId: request.CallerID,
@@ -93,7 +93,7 @@
 		Call:      c.calls.Add(1),
 	}
 	var result v1.ClaimResult
-	err := c.voters.untilAnswered(ctx, func(ctx context.Context, voter int) error {
+	err := c.voters.callUntilAnswered(ctx, func(ctx context.Context, voter int) error {
 		response, err := c.voters.claims[voter].Claim(ctx, connect.NewRequest(message))
 		if err == nil {
 			result = response.Msg.GetResult()
@@ -101,7 +101,7 @@
 		return err
 	})
 	if err != nil {
-		c.logger.WithFields(logrus.Fields{"request": request.CallerID, "reason": err}).Warn("claim not decided")
+		c.logger.WithFields(logrus.Fields{"request": request.CallerID, "reason": err}).Warn("no voter decided the claim")
 		c.release(message)
 		return query.ClaimUnavailable
 	}
@@ -134,19 +134,19 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.held[request.CallerID] = heldClaim{call: call, expires: now.Add(request.Expiry)}
-	if len(c.held) < c.sweepAt {
+	if len(c.held) < c.nextSweepSize {
 		return
 	}
-	// Claims whose outcome stays unknown are never settled.
+	// Claims whose outcome remains unknown are never settled.
 	for id, claim := range c.held {
 		if now.After(claim.expires) {
 			delete(c.held, id)
 		}
 	}
-	c.sweepAt = max(sweepFrom, 2*len(c.held))
+	c.nextSweepSize = max(minSweepSize, 2*len(c.held))
 }
 
-// release hands a claim to Run to be given back.
+// release queues a claim for release by Run.
 func (c *Claims) release(message *v1.ClaimRequest) {
 	dropped := c.releases.PushDropOldest(&v1.SettleClaimRequest{
 		RequestId: message.GetRequestId(),
@@ -179,25 +179,25 @@
 }
 
 func (c *Claims) settle(ctx context.Context, message *v1.SettleClaimRequest) error {
-	err := c.voters.untilAnswered(ctx, func(ctx context.Context, voter int) error {
+	err := c.voters.callUntilAnswered(ctx, func(ctx context.Context, voter int) error {
 		_, err := c.voters.claims[voter].SettleClaim(ctx, connect.NewRequest(message))
 		return err
 	})
 	return errors.Wrapf(err, "settle the claim of request %s", message.GetRequestId())
 }
 
-// Run gives claims back whose answer was lost, until the context ends.
+// Run releases claims whose answer was lost, until the context ends.
 func (c *Claims) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case message := <-c.releases.Items():
-			bounded, cancel := context.WithTimeout(ctx, releaseTimeout)
-			err := c.settle(bounded, message)
+			settleCtx, cancel := context.WithTimeout(ctx, releaseTimeout)
+			err := c.settle(settleCtx, message)
 			cancel()
 			if err != nil {
-				c.logger.WithField("reason", err).Warn("claim not given back; it lasts until it expires")
+				c.logger.WithField("reason", err).Warn("claim not released; it remains held until it expires")
 			}
 		}
 	}
--- a/internal/controlclient/claims_test.go
+++ b/internal/controlclient/claims_test.go
@@ -24,21 +24,21 @@
 
 const testTimeout = 30 * time.Second
 
-// fakeVoter answers claims by a function and records what it was asked.
+// fakeVoter answers claims with a function and records the requests.
 type fakeVoter struct {
 	martenstagev1connect.UnimplementedClaimServiceHandler
 	mutex   sync.Mutex
 	claims  []*v1.ClaimRequest
 	settled chan *v1.SettleClaimRequest
-	answer  func(asked int) (v1.ClaimResult, error)
+	answer  func(count int) (v1.ClaimResult, error)
 }
 
 func (f *fakeVoter) Claim(_ context.Context, request *connect.Request[v1.ClaimRequest]) (*connect.Response[v1.ClaimResponse], error) {
 	f.mutex.Lock()
 	f.claims = append(f.claims, request.Msg)
-	asked := len(f.claims)
+	count := len(f.claims)
 	f.mutex.Unlock()
-	result, err := f.answer(asked)
+	result, err := f.answer(count)
 	if err != nil {
 		return nil, err
 	}
@@ -50,14 +50,14 @@
 	return connect.NewResponse(&v1.SettleClaimResponse{}), nil
 }
 
-func (f *fakeVoter) asked() []*v1.ClaimRequest {
+func (f *fakeVoter) receivedClaims() []*v1.ClaimRequest {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return append([]*v1.ClaimRequest(nil), f.claims...)
 }
 
-// newClaims returns a registry that asks fake voters with the given answers.
-func newClaims(t *testing.T, answers ...func(asked int) (v1.ClaimResult, error)) (*Claims, []*fakeVoter) {
+// newClaims returns a registry that calls one fake voter per answer function.
+func newClaims(t *testing.T, answers ...func(count int) (v1.ClaimResult, error)) (*Claims, []*fakeVoter) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	var voters []*fakeVoter
@@ -90,45 +90,46 @@
 	return func(int) (v1.ClaimResult, error) { return 0, connect.NewError(code, nil) }
 }
 
-func claimOf(t *testing.T, claims *Claims, limit time.Duration) query.ClaimDecision {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+func claimWithin(t *testing.T, claims *Claims, timeout time.Duration) query.ClaimDecision {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return claims.Claim(ctx, router.ClaimRequest{CallerID: "id", Route: "send", Digest: "digest", Expiry: time.Hour})
 }
 
-// TestClaimIsResentUnderOneCall loses answers at one voter. The claim goes on at
-// the next one under the same number, and the next claim under another.
+// TestClaimIsResentUnderOneCall loses an answer at one voter. The claim must be
+// retried at the next voter under the same call number, and the next claim must
+// use another.
 func TestClaimIsResentUnderOneCall(t *testing.T) {
 	claims, voters := newClaims(t, failing(connect.CodeAborted), always(v1.ClaimResult_CLAIM_RESULT_GRANTED))
-	require.Equal(t, query.ClaimGranted, claimOf(t, claims, testTimeout))
-	require.Equal(t, query.ClaimGranted, claimOf(t, claims, testTimeout))
-	first, second := voters[0].asked(), voters[1].asked()
-	require.Len(t, first, 1, "the voter that answered is asked first from then on")
+	require.Equal(t, query.ClaimGranted, claimWithin(t, claims, testTimeout))
+	require.Equal(t, query.ClaimGranted, claimWithin(t, claims, testTimeout))
+	first, second := voters[0].receivedClaims(), voters[1].receivedClaims()
+	require.Len(t, first, 1, "the voter that answered must be tried first from then on")
 	require.Equal(t, first[0].GetCall(), second[0].GetCall())
 	require.NotEqual(t, second[0].GetCall(), second[1].GetCall())
 	require.Equal(t, "router/7", second[0].GetHolder())
 }
 
-// TestUndecidedClaimIsGivenBack lets the time run out: nothing is dispatched, so
-// the claim, should it have been granted, is released under its own call.
-func TestUndecidedClaimIsGivenBack(t *testing.T) {
+// TestUndecidedClaimIsReleased lets a claim time out. Nothing is dispatched, so
+// the claim must be released under its own call number in case it was granted.
+func TestUndecidedClaimIsReleased(t *testing.T) {
 	claims, voters := newClaims(t, failing(connect.CodeAborted))
-	require.Equal(t, query.ClaimUnavailable, claimOf(t, claims, 100*time.Millisecond))
+	require.Equal(t, query.ClaimUnavailable, claimWithin(t, claims, 100*time.Millisecond))
 	select {
 	case released := <-voters[0].settled:
 		require.Equal(t, v1.ClaimOutcome_CLAIM_OUTCOME_NOT_RUN, released.GetOutcome())
-		require.Equal(t, voters[0].asked()[0].GetCall(), released.GetCall())
+		require.Equal(t, voters[0].receivedClaims()[0].GetCall(), released.GetCall())
 	case <-time.After(testTimeout):
-		require.Fail(t, "the claim was not given back")
+		require.Fail(t, "the claim was not released")
 	}
 }
 
-// TestRefusalIsFinal checks that answers which another voter would give as well
-// are not asked for again, and what each decision means to a router.
+// TestRefusalIsFinal checks that an answer which any voter would give is not
+// requested again, and how each result maps to a router's decision.
 func TestRefusalIsFinal(t *testing.T) {
 	claims, voters := newClaims(t, failing(connect.CodeResourceExhausted), always(v1.ClaimResult_CLAIM_RESULT_GRANTED))
-	require.Equal(t, query.ClaimUnavailable, claimOf(t, claims, testTimeout))
-	require.Empty(t, voters[1].asked())
+	require.Equal(t, query.ClaimUnavailable, claimWithin(t, claims, testTimeout))
+	require.Empty(t, voters[1].receivedClaims())
 	for result, decision := range map[v1.ClaimResult]query.ClaimDecision{
 		v1.ClaimResult_CLAIM_RESULT_MAY_HAVE_RUN:    query.ClaimHeldMayHaveRun,
 		v1.ClaimResult_CLAIM_RESULT_RAN:             query.ClaimHeldRan,
@@ -137,24 +138,24 @@
 		v1.ClaimResult_CLAIM_RESULT_UNSPECIFIED:     query.ClaimUnavailable,
 	} {
 		claims, _ := newClaims(t, always(result))
-		require.Equal(t, decision, claimOf(t, claims, testTimeout), result)
+		require.Equal(t, decision, claimWithin(t, claims, testTimeout), result)
 	}
 }
 
-// TestSettlement settles a held claim by its outcome, once.
+// TestSettlement settles a held claim with its outcome, once.
 func TestSettlement(t *testing.T) {
 	claims, voters := newClaims(t, always(v1.ClaimResult_CLAIM_RESULT_GRANTED))
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	require.Equal(t, query.ClaimGranted, claimOf(t, claims, testTimeout))
+	require.Equal(t, query.ClaimGranted, claimWithin(t, claims, testTimeout))
 	require.NoError(t, claims.Settle(ctx, "id", verdict.Ran))
 	settled := <-voters[0].settled
 	require.Equal(t, v1.ClaimOutcome_CLAIM_OUTCOME_RAN, settled.GetOutcome())
-	require.Equal(t, voters[0].asked()[0].GetCall(), settled.GetCall())
+	require.Equal(t, voters[0].receivedClaims()[0].GetCall(), settled.GetCall())
 	require.ErrorIs(t, claims.Settle(ctx, "id", verdict.Ran), ErrNotHeld)
 
-	// What may have run stays held.
-	require.Equal(t, query.ClaimGranted, claimOf(t, claims, testTimeout))
+	// A claim whose request may have run stays held.
+	require.Equal(t, query.ClaimGranted, claimWithin(t, claims, testTimeout))
 	require.NoError(t, claims.Settle(ctx, "id", verdict.MayHaveRun))
 	require.Empty(t, voters[0].settled)
 }
--- a/internal/controlclient/doc.go
+++ b/internal/controlclient/doc.go
@@ -1,5 +1,5 @@
-// Package controlclient joins a router to control: Source brings configuration,
-// leases, machine states and the list of routers; Claims decides requests that
-// run at most once; Journal delivers events. They implement the interfaces of
-// package router.
+// Package controlclient connects a router to the control voters. Source provides
+// configuration, leases, machine states and the list of routers; Claims decides
+// requests that must run at most once; Voters also delivers events to the journal.
+// Source and Claims implement interfaces of package router.
 package controlclient
--- a/internal/controlclient/source.go
+++ b/internal/controlclient/source.go
@@ -24,70 +24,71 @@
 )
 
 const (
-	// repeatAfter is how often an observation that still holds is told again,
-	// well before control would forget it.
-	repeatAfter = membership.ObservationLifetime / 3
-	// observationLimit is how long an observation is repeated at most, should
-	// the router never see the back end again.
-	observationLimit = 10 * time.Minute
+	// repeatInterval is how often an observation that still holds is reported again,
+	// well before control discards it.
+	repeatInterval = membership.ObservationLifetime / 3
+	// maxObservationAge is how long an observation is repeated if the router never
+	// sees the back end again.
+	maxObservationAge = 10 * time.Minute
 )
 
-// SourceConfig describes the router that follows.
+// SourceConfig describes the router that a Source runs in.
 type SourceConfig struct {
 	Name string
 	Zone string
-	// Address at which peers reach the router.
+	// Address is where other routers reach this router.
 	Address string
 	Boot    uint64
-	// Upstreams are relays, or control voters on a small site.
+	// Upstreams are the addresses of relays, or of control voters on a small site.
 	Upstreams []string
 }
 
-// SourceDeps are the parts that a Source works with.
+// SourceDeps holds the dependencies of a Source.
 type SourceDeps struct {
 	Dial follower.Dial
 	// Events may be nil.
 	Events     follower.Events
 	Logger     logrus.FieldLogger
 	Registerer prometheus.Registerer
-	// Routes returns what the router did with requests lately; may be nil.
+	// Routes returns recent request statistics per route; may be nil.
 	Routes func(now time.Time) []*v1.RouteReport
 	// Random returns a number in [0,1) for jitter.
 	Random func() float64
 }
 
-// Source is a router's configuration source. It implements
-// router.ConfigSource.
+// Source is a router's configuration source. It implements router.ConfigSource.
 type Source struct {
-	upstreams []string
-	follower  *follower.Follower
-	routes    func(now time.Time) []*v1.RouteReport
-	// pace of the reports about requests; it belongs to the follower's goroutine.
+	upstreams    []string
+	follower     *follower.Follower
+	routeReports func(now time.Time) []*v1.RouteReport
+	// pace limits the request statistics reports; used only by the follower's
+	// goroutine.
 	pace routestats.Pace
 
 	mutex        sync.Mutex
-	target       router.ConfigSink
+	configSink   router.ConfigSink
 	routers      *membership.Table[membership.Node]
 	machines     *membership.Table[membership.Machine]
 	observations map[netip.AddrPort]*observation
 }
 
-// observation is what the router itself saw of a back end.
+// observation is the state of a back end as seen by this router.
 type observation struct {
-	state  membership.State
-	seenAt time.Time
-	// told is to whom and when it was last told; the zero value is nobody.
-	told   follower.Upstream
-	toldAt time.Time
-	// underWay marks what the call under way tells.
-	underWay membership.State
+	state      membership.State
+	observedAt time.Time
+	// reportedTo and reportedAt are the upstream and time of the last report; the
+	// zero value means not reported.
+	reportedTo follower.Upstream
+	reportedAt time.Time
+	// inFlight is the state that the call in flight reports; 0 if none.
+	inFlight membership.State
 }
 
-// NewSource returns a source that has nothing yet.
+// NewSource returns a source without any configuration yet.
 func NewSource(config SourceConfig, deps SourceDeps) (*Source, error) {
 	source := &Source{
 		upstreams:    config.Upstreams,
-		routes:       deps.Routes,
+		routeReports: deps.Routes,
 		routers:      membership.NewRouterTable(),
 		machines:     membership.NewMachineTable(),
 		observations: make(map[netip.AddrPort]*observation),
@@ -96,21 +97,21 @@
 		Name: config.Name, Role: membership.RoleRouter, Zone: config.Zone,
 		Address: config.Address, Boot: config.Boot,
 	}
-	upper, err := follower.New(follower.Config{Node: node, Upstreams: config.Upstreams}, follower.Deps{
-		Dial: deps.Dial, Sink: intake{source}, Reporter: source, Events: deps.Events,
+	newFollower, err := follower.New(follower.Config{Node: node, Upstreams: config.Upstreams}, follower.Deps{
+		Dial: deps.Dial, Sink: followerSink{source}, Reporter: source, Events: deps.Events,
 		Logger: deps.Logger, Registerer: deps.Registerer, Random: deps.Random,
 	})
 	if err != nil {
 		return nil, err
 	}
-	source.follower = upper
+	source.follower = newFollower
 	return source, nil
 }
 
 // Run implements router.ConfigSource.
-func (s *Source) Run(ctx context.Context, target router.ConfigSink) error {
+func (s *Source) Run(ctx context.Context, sink router.ConfigSink) error {
 	s.mutex.Lock()
-	s.target = target
+	s.configSink = sink
 	s.mutex.Unlock()
 	err := s.follower.Run(ctx)
 	if errors.Is(err, context.Canceled) {
@@ -121,38 +122,38 @@
 
 // Observe implements router.ConfigSource.
 func (s *Source) Observe(address netip.AddrPort, state query.MachineState) {
-	if s.note(address, membershipStates[state]) {
-		// The call that is held now does not tell it. Outside the lock, because
-		// the follower calls the sink under its own.
+	if s.recordObservation(address, membershipStates[state]) {
+		// The call in flight does not contain this state. Poke is called without
+		// s.mutex, because the follower calls the sink while it holds its own lock.
 		s.follower.Poke()
 	}
 }
 
-// note keeps an observation and reports whether it is news.
-func (s *Source) note(address netip.AddrPort, word membership.State) bool {
+// recordObservation stores an observation and reports whether it is new.
+func (s *Source) recordObservation(address netip.AddrPort, state membership.State) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known, found := s.observations[address]
+	current, found := s.observations[address]
 	if !found {
-		if word == membership.Live {
-			return false // nothing was said before that would have to be withdrawn
+		if state == membership.Live {
+			return false // no earlier report needs to be withdrawn
 		}
-		known = &observation{}
-		s.observations[address] = known
+		current = &observation{}
+		s.observations[address] = current
 	}
-	known.seenAt = steadyclock.Now()
-	if known.state == word {
+	current.observedAt = steadyclock.Now()
+	if current.state == state {
 		return false
 	}
-	known.state, known.told = word, follower.Upstream{}
+	current.state, current.reportedTo = state, follower.Upstream{}
 	return true
 }
 
-// sink returns whom Run delivers to; nil before.
+// sink returns the sink that Run delivers to; nil before Run.
 func (s *Source) sink() router.ConfigSink {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.target
+	return s.configSink
 }
 
 // Leave implements router.ConfigSource.
@@ -161,26 +162,26 @@
 // Describe implements router.ConfigSource.
 func (s *Source) Describe() string { return "control through " + strings.Join(s.upstreams, ", ") }
 
-// Prepare implements follower.Reporter: it adds the observations that the
-// upstream does not know, or would soon forget.
+// Prepare implements follower.Reporter. It adds the observations that the upstream
+// does not know or would soon discard.
 func (s *Source) Prepare(now time.Time, upstream follower.Upstream, request *v1.SyncRequest) {
-	if s.routes != nil && s.pace.Due(now, upstream.Address) {
-		request.Routes = s.routes(now)
+	if s.routeReports != nil && s.pace.Due(now, upstream.Address) {
+		request.Routes = s.routeReports(now)
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for address, known := range s.observations {
-		known.underWay = 0
-		if now.Sub(known.seenAt) > observationLimit {
+	for address, current := range s.observations {
+		current.inFlight = 0
+		if now.Sub(current.observedAt) > maxObservationAge {
 			delete(s.observations, address)
 			continue
 		}
-		if known.told == upstream && now.Sub(known.toldAt) < repeatAfter {
+		if current.reportedTo == upstream && now.Sub(current.reportedAt) < repeatInterval {
 			continue
 		}
-		known.underWay = known.state
+		current.inFlight = current.state
 		request.Observations = append(request.Observations, &v1.MachineState{
-			Address: address.String(), State: known.state.String(),
+			Address: address.String(), State: current.state.String(),
 		})
 	}
 	slices.SortFunc(request.Observations, func(left, right *v1.MachineState) int {
@@ -193,12 +194,12 @@
 	now := steadyclock.Now()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for address, known := range s.observations {
-		if known.underWay == 0 || known.underWay != known.state {
+	for address, current := range s.observations {
+		if current.inFlight == 0 || current.inFlight != current.state {
 			continue
 		}
-		known.told, known.toldAt = upstream, now
-		if known.state == membership.Live {
+		current.reportedTo, current.reportedAt = upstream, now
+		if current.state == membership.Live {
 			delete(s.observations, address)
 		}
 	}
@@ -212,24 +213,24 @@
 	membership.Live: query.MachineLive, membership.Leaving: query.MachineLeaving, membership.Gone: query.MachineGone,
 }
 
-// intake takes in what the follower learns and hands it to the router.
-type intake struct{ source *Source }
+// followerSink passes what the follower receives to the router.
+type followerSink struct{ source *Source }
 
 // InstallPlan implements follower.Sink.
-func (s intake) InstallPlan(revision uint64, installed *plan.Plan) {
+func (s followerSink) InstallPlan(revision uint64, installed *plan.Plan) {
 	s.source.sink().InstallPlan(revision, installed)
 }
 
 // ExtendLease implements follower.Sink.
-func (s intake) ExtendLease(_ uint64, until time.Time) {
-	// The router may leave before it ever ran.
-	if target := s.source.sink(); target != nil {
-		target.ExtendLease(until)
+func (s followerSink) ExtendLease(_ uint64, until time.Time) {
+	// The router may deregister before Run was called.
+	if sink := s.source.sink(); sink != nil {
+		sink.ExtendLease(until)
 	}
 }
 
 // MergeRouters implements follower.Sink.
-func (s intake) MergeRouters(changes membership.Changes[membership.Node]) {
+func (s followerSink) MergeRouters(changes membership.Changes[membership.Node]) {
 	s.source.mutex.Lock()
 	merged := s.source.routers.Merge(changes)
 	nodes := s.source.routers.Values()
@@ -241,7 +242,7 @@
 	for _, node := range nodes {
 		address, err := netip.ParseAddrPort(node.Address)
 		if err != nil {
-			continue // a peer without an address takes no handed-over requests
+			continue // a router without an address can't receive handed-over requests
 		}
 		peers = append(peers, router.Peer{Name: node.Name, Zone: node.Zone, Address: address, Boot: node.Boot})
 	}
@@ -249,7 +250,7 @@
 }
 
 // MergeMachines implements follower.Sink.
-func (s intake) MergeMachines(changes membership.Changes[membership.Machine]) {
+func (s followerSink) MergeMachines(changes membership.Changes[membership.Machine]) {
 	s.source.mutex.Lock()
 	before := s.source.machines.Values()
 	merged := s.source.machines.Merge(changes)
@@ -258,40 +259,40 @@
 	if !merged {
 		return
 	}
-	if observed := differences(before, after); len(observed) > 0 {
+	if observed := changedMachines(before, after); len(observed) > 0 {
 		s.source.sink().ObserveMachines(observed)
 	}
 }
 
 // Versions implements follower.Sink.
-func (s intake) Versions() (routers, machines uint64) {
+func (s followerSink) Versions() (routers, machines uint64) {
 	s.source.mutex.Lock()
 	defer s.source.mutex.Unlock()
 	return s.source.routers.Version(), s.source.machines.Version()
 }
 
-// differences lists the machines whose state is another one now. A machine
-// that is no longer listed is live by everybody's word.
-func differences(before, after []membership.Machine) []query.MachineObserved {
-	was := make(map[string]membership.State, len(before))
+// changedMachines lists the machines whose state changed. A machine that is no
+// longer listed counts as live.
+func changedMachines(before, after []membership.Machine) []query.MachineObserved {
+	statesBefore := make(map[string]membership.State, len(before))
 	for _, machine := range before {
-		was[machine.Address] = machine.State
+		statesBefore[machine.Address] = machine.State
 	}
 	var changed []query.MachineObserved
-	note := func(text string, state membership.State) {
+	add := func(text string, state membership.State) {
 		if address, err := netip.ParseAddrPort(text); err == nil {
 			changed = append(changed, query.MachineObserved{Address: address, State: queryStates[state]})
 		}
 	}
 	for _, machine := range after {
-		if was[machine.Address] != machine.State {
-			note(machine.Address, machine.State)
+		if statesBefore[machine.Address] != machine.State {
+			add(machine.Address, machine.State)
 		}
-		delete(was, machine.Address)
+		delete(statesBefore, machine.Address)
 	}
 	for _, machine := range before {
-		if _, unlisted := was[machine.Address]; unlisted {
-			note(machine.Address, membership.Live)
+		if _, unlisted := statesBefore[machine.Address]; unlisted {
+			add(machine.Address, membership.Live)
 		}
 	}
 	return changed
--- a/internal/controlclient/voters.go
+++ b/internal/controlclient/voters.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// attemptTimeout bounds one call to one voter, so that a voter which is
-	// silently cut off leaves time for the others.
+	// attemptTimeout bounds one call to one voter, so that a voter behind a silent
+	// partition leaves time for the others.
 	attemptTimeout = 700 * time.Millisecond
-	// roundPause lies between rounds over all voters.
-	roundPause = 20 * time.Millisecond
+	// roundDelay is the delay between rounds over all voters.
+	roundDelay = 20 * time.Millisecond
 )
 
-// Voters calls control voters. Any voter passes calls on to the leader; the one
-// that answered last is asked first.
+// Voters calls the control voters. Any voter forwards calls to the leader; the
+// voter that answered last is tried first.
 type Voters struct {
 	claims []martenstagev1connect.ClaimServiceClient
 	events []martenstagev1connect.JournalServiceClient
 	next   atomic.Uint64
 }
 
-// NewVoters returns a client of the voters at the addresses, of which there
-// must be one at least.
+// NewVoters returns a client of the voters at the addresses. At least one address
+// is required.
 func NewVoters(client *rpc.Client, addresses []string) *Voters {
 	options := rpc.ClientOptions()
 	return &Voters{
@@ -44,21 +44,21 @@
 	}
 }
 
-// untilAnswered repeats a call, voter after voter, until one answers it or the
-// context ends. The call must be one that may be sent again.
-func (v *Voters) untilAnswered(ctx context.Context, call func(ctx context.Context, voter int) error) error {
+// callUntilAnswered sends a call to one voter after another until one answers or
+// the context ends. The call must be safe to retry.
+func (v *Voters) callUntilAnswered(ctx context.Context, call func(ctx context.Context, voter int) error) error {
 	for attempt := 1; ; attempt++ {
 		voter := v.next.Load()
 		err := v.attempt(ctx, call, int(voter%uint64(len(v.claims))))
-		if err == nil || isAnswer(err) {
+		if err == nil || isFinalError(err) {
 			return err
 		}
-		// Several calls may fail at once; only one of them moves on.
+		// Several concurrent calls may fail; only one of them advances.
 		v.next.CompareAndSwap(voter, voter+1)
 		if ctx.Err() != nil {
 			return err
 		}
-		if attempt%len(v.claims) == 0 && !wait.For(ctx, roundPause) {
+		if attempt%len(v.claims) == 0 && !wait.For(ctx, roundDelay) {
 			return err
 		}
 	}
@@ -70,9 +70,9 @@
 	return call(ctx, voter)
 }
 
-// isAnswer reports whether an error is an answer that another voter would give
-// as well.
-func isAnswer(err error) bool {
+// isFinalError reports whether an error is an answer that any other voter would
+// give as well.
+func isFinalError(err error) bool {
 	var coded *connect.Error
 	if !errors.As(err, &coded) {
 		return false
