--- a/internal/follower/authority.go
+++ b/internal/follower/authority.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// leaderAuthority grants leases by confirmed leadership.
+// leaderAuthority entitles a control voter to grant leases while its
+// leadership is confirmed.
 type leaderAuthority struct {
 	leadership Leadership
 	lease      time.Duration
 }
 
-// NewLeaderAuthority returns the authority of a control voter: leases of a
-// fixed duration, each after a confirmation begun after the call arrived. So a
-// lease, which counts from before the call, ends within its duration after any
-// later leader was elected.
+// NewLeaderAuthority returns the Authority of a control voter. Leases have a
+// fixed duration, and each is granted after a leadership confirmation that
+// started after the call arrived. A lease runs from before the call, so it
+// expires within its duration of the election of any later leader.
 func NewLeaderAuthority(leadership Leadership, lease time.Duration) Authority {
 	return leaderAuthority{leadership: leadership, lease: lease}
 }
 
-// Confirm asks a quorum.
+// Confirm confirms the leadership with a quorum.
 func (a leaderAuthority) Confirm(ctx context.Context, _ bool) (Entitlement, error) {
 	term, err := a.leadership.ConfirmLeadership(ctx)
 	if err != nil {
--- a/internal/follower/call.go
+++ b/internal/follower/call.go
@@ -15,20 +15,20 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// outcome is what came of one call.
+// outcome is the result of one Sync call.
 type outcome struct {
-	verdict  lease.Verdict
-	redirect string
-	poked    bool
-	err      error
+	verdict     lease.Verdict
+	redirect    string
+	interrupted bool
+	err         error
 }
 
 func (o outcome) granted() bool { return o.err == nil && o.verdict == lease.Taken }
 
 func (o outcome) label() string {
 	switch {
-	case o.poked:
-		return outcomePoked
+	case o.interrupted:
+		return outcomeInterrupted
 	case o.err != nil:
 		return outcomeFailed
 	default:
@@ -43,17 +43,17 @@
 	return o.verdict.String()
 }
 
-// call makes one call and takes in what it brings.
+// call makes one Sync call and applies the response.
 func (f *Follower) call(ctx context.Context) outcome {
 	address := f.upstreams.current()
 	ctx, cancel := context.WithTimeout(ctx, f.config.Hold+callMargin)
 	defer cancel()
-	// The lease counts from here, the earliest moment at which the server can
-	// have known of the call.
+	// The lease runs from here, the earliest moment at which the server can
+	// have received the call.
 	sentAt := steadyclock.Now()
 	routers, machines := f.deps.Sink.Versions()
 	f.mutex.Lock()
-	round := f.rounds.begin(sentAt, cancel)
+	callNumber := f.calls.begin(sentAt, cancel)
 	request := f.request()
 	upstream := Upstream{Address: address, Term: f.holder.Term()}
 	f.mutex.Unlock()
@@ -63,14 +63,14 @@
 	}
 	response, err := f.deps.Dial(address).Sync(ctx, connect.NewRequest(request))
 	f.mutex.Lock()
-	poked := f.rounds.end()
+	interrupted := f.calls.end()
 	f.mutex.Unlock()
 	if err != nil {
-		return outcome{err: err, poked: poked && ctx.Err() == context.Canceled}
+		return outcome{err: err, interrupted: interrupted && ctx.Err() == context.Canceled}
 	}
-	result := f.take(sentAt, response.Msg)
+	result := f.apply(sentAt, response.Msg)
 	if result.granted() {
-		f.granted(address, round)
+		f.recordGrant(address, callNumber)
 		if f.deps.Reporter != nil {
 			f.deps.Reporter.Delivered(upstream, request)
 		}
@@ -78,37 +78,38 @@
 	return result
 }
 
-// request builds a call. The caller holds the lock.
+// request builds a Sync request. The caller holds the lock.
 func (f *Follower) request() *v1.SyncRequest {
 	request := &v1.SyncRequest{Node: nodeToWire(f.config.Node), Revision: f.holder.Revision()}
 	if f.resync {
 		request.Revision = 0
 	}
-	if f.rounds.held {
+	if f.calls.holdable {
 		request.Hold = durationpb.New(f.jitteredHold())
 	}
 	return request
 }
 
-// jitteredHold spreads the calls of followers that were all answered at once.
+// jitteredHold shortens the hold time by a random part, so that followers that
+// were all answered at once do not call again at the same time.
 func (f *Follower) jitteredHold() time.Duration {
 	const spread = 0.2
 	return time.Duration(float64(f.config.Hold) * (1 - spread*f.deps.Random()))
 }
 
-func (f *Follower) granted(address string, round uint64) {
+func (f *Follower) recordGrant(address string, callNumber uint64) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.upstream = address
-	f.rounds.complete(round)
+	f.calls.complete(callNumber)
 }
 
-// errUnusable is returned for a response that can't be applied.
+// errUnusable is returned for a response whose plan or delta can't be applied.
 var errUnusable = errors.New("the response can't be applied")
 
-// take installs what a response brings, in the order that makes leases safe:
-// revision first, lease after.
-func (f *Follower) take(sentAt time.Time, response *v1.SyncResponse) outcome {
+// apply applies a response: first the revision, then the lease, so that no work
+// is admitted under the new lease with an older revision.
+func (f *Follower) apply(sentAt time.Time, response *v1.SyncResponse) outcome {
 	if response.GetLease().AsDuration() <= 0 {
 		return outcome{verdict: lease.Empty, redirect: response.GetRedirect()}
 	}
@@ -121,7 +122,7 @@
 			return outcome{err: err}
 		}
 	}
-	verdict := f.offer(sentAt, response)
+	verdict := f.applyLease(sentAt, response)
 	if verdict == lease.Taken {
 		f.deps.Sink.MergeRouters(routerChangesFromWire(response))
 		f.deps.Sink.MergeMachines(machineChangesFromWire(response))
@@ -129,7 +130,8 @@
 	return outcome{verdict: verdict}
 }
 
-// install puts the revision of a response in force if it is a higher one.
+// install installs the revision of a response if it is higher than the
+// installed one.
 func (f *Follower) install(response *v1.SyncResponse) error {
 	_, installed, _ := f.Lease()
 	if response.GetRevision() <= installed {
@@ -166,11 +168,12 @@
 	}
 }
 
-// offer takes the lease, unless the node has left meanwhile.
-func (f *Follower) offer(sentAt time.Time, response *v1.SyncResponse) lease.Verdict {
+// applyLease applies the granted lease, unless the node has deregistered since
+// the call was sent.
+func (f *Follower) applyLease(sentAt time.Time, response *v1.SyncResponse) lease.Verdict {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.left {
+	if f.deregistered {
 		return lease.Empty
 	}
 	verdict := f.holder.Offer(lease.Grant{
@@ -185,12 +188,12 @@
 	return verdict
 }
 
-// sendLeave gives the lease back.
-func (f *Follower) sendLeave(ctx context.Context, upstream string) error {
+// sendDeregistration releases the lease at the upstream.
+func (f *Follower) sendDeregistration(ctx context.Context, upstream string) error {
 	request := &v1.SyncRequest{Node: nodeToWire(f.config.Node), Leaving: true}
 	if f.config.Node.Role == membership.RoleRelay {
-		return errors.New("a relay can't give back the leases of its followers")
+		return errors.New("a relay can't release the leases of its followers")
 	}
 	_, err := f.deps.Dial(upstream).Sync(ctx, connect.NewRequest(request))
-	return errors.Wrapf(err, "give the lease back to %s", upstream)
+	return errors.Wrapf(err, "release the lease at %s", upstream)
 }
--- a/internal/follower/rounds_test.go
+++ b/internal/follower/call_tracker_test.go
@@ -18,7 +18,7 @@
 	"github.com/martenstage/martenstage/internal/plan"
 )
 
-// slowServer answers after a while and grants a lease.
+// slowServer grants a lease after a delay and the hold time.
 type slowServer struct{ delay time.Duration }
 
 func (s slowServer) Sync(ctx context.Context, request *connect.Request[v1.SyncRequest]) (*connect.Response[v1.SyncResponse], error) {
@@ -34,7 +34,7 @@
 	return connect.NewResponse(response), nil
 }
 
-// leaseSink notes the end of the lease.
+// leaseSink records the end of the lease.
 type leaseSink struct{ until time.Time }
 
 func (*leaseSink) InstallPlan(uint64, *plan.Plan)                       {}
@@ -43,27 +43,27 @@
 func (*leaseSink) MergeMachines(membership.Changes[membership.Machine]) {}
 func (*leaseSink) Versions() (routers, machines uint64)                 { return 0, 0 }
 
-// A server that answers more slowly than pokes come renews the lease all the
-// same.
-func TestPokesDoNotStarveTheLease(t *testing.T) {
+// Interrupts that come faster than the server answers must not keep the lease
+// from being renewed.
+func TestInterruptsDoNotStopLeaseRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		sink := &leaseSink{}
-		const delay = 4 * pokeSpacing
-		upper, err := New(
+		const delay = 4 * minInterruptDelay
+		relayFollower, err := New(
 			Config{Node: membership.Node{Name: "relay-1", Role: membership.RoleRelay, Boot: 1}, Upstreams: []string{"control-1"}},
 			Deps{
 				Dial: func(string) martenstagev1connect.FollowServiceClient { return slowServer{delay: delay} },
-				Sink: sink, Logger: discard(), Registerer: prometheus.NewRegistry(), Random: func() float64 { return 0 },
+				Sink: sink, Logger: discardLogger(), Registerer: prometheus.NewRegistry(), Random: func() float64 { return 0 },
 			})
 		require.NoError(t, err)
-		go func() { _ = upper.Run(ctx) }()
+		go func() { _ = relayFollower.Run(ctx) }()
 		for begin := time.Now(); time.Since(begin) < 3*lease.DefaultDuration; {
-			upper.Poke()
-			time.Sleep(pokeSpacing / 10)
+			relayFollower.Poke()
+			time.Sleep(minInterruptDelay / 10)
 			if time.Since(begin) > time.Second {
-				_, _, until := upper.Lease()
+				_, _, until := relayFollower.Lease()
 				require.Greater(t, time.Until(until), lease.DefaultDuration/2)
 			}
 		}
--- a/internal/follower/cost_test.go
+++ b/internal/follower/cost_test.go
@@ -26,44 +26,44 @@
 )
 
 // fixedControl is a leader whose configuration never changes.
-type fixedControl struct{ never chan struct{} }
+type fixedControl struct{ neverChanges chan struct{} }
 
 func (fixedControl) ConfirmLeadership(context.Context) (uint64, error) { return 7, nil }
 
 func (c fixedControl) Latest() (uint64, *plan.Plan, <-chan struct{}) {
-	return 1_000_000, &plan.Plan{}, c.never
+	return 1_000_000, &plan.Plan{}, c.neverChanges
 }
 
-// countedConn counts the bytes that the calling side sends and receives.
-type countedConn struct {
+// countingConn counts the bytes that the client sends and receives.
+type countingConn struct {
 	net.Conn
 	sent, received *atomic.Int64
 }
 
-func (c countedConn) Write(data []byte) (int, error) {
+func (c countingConn) Write(data []byte) (int, error) {
 	count, err := c.Conn.Write(data)
 	c.sent.Add(int64(count))
 	return count, err
 }
 
-func (c countedConn) Read(data []byte) (int, error) {
+func (c countingConn) Read(data []byte) (int, error) {
 	count, err := c.Conn.Read(data)
 	c.received.Add(int64(count))
 	return count, err
 }
 
-// BenchmarkSteadySync measures a call that brings nothing but a new lease:
-// processor time of both ends together, allocations, and bytes each way.
+// BenchmarkSteadySync measures a call that only renews the lease: CPU time of
+// both ends together, allocations, and bytes in each direction.
 func BenchmarkSteadySync(b *testing.B) {
 	b.Run("plaintext", func(b *testing.B) { benchmarkSync(b, rpc.Plaintext(), rpc.Plaintext()) })
 	b.Run("tls", func(b *testing.B) {
 		folder := b.TempDir()
 		require.NoError(b, keys.Init(folder, time.Now()))
-		benchmarkSync(b, issued(b, folder, "control-1", keys.RoleControl), issued(b, folder, "router-1", keys.RoleRouter))
+		benchmarkSync(b, issueSecurity(b, folder, "control-1", keys.RoleControl), issueSecurity(b, folder, "router-1", keys.RoleRouter))
 	})
 }
 
-func issued(t testing.TB, folder, name string, role keys.Role) *rpc.Security {
+func issueSecurity(t testing.TB, folder, name string, role keys.Role) *rpc.Security {
 	t.Helper()
 	require.NoError(t, keys.Issue(folder, keys.Request{
 		Name: name, Role: role, Lifetime: time.Hour, Addresses: []netip.Addr{netip.MustParseAddr("127.0.0.1")},
@@ -72,36 +72,36 @@
 		Authority:   filepath.Join(folder, keys.AuthorityCertificateFile),
 		Certificate: filepath.Join(folder, name+".crt"),
 		Key:         filepath.Join(folder, name+".key"),
-	}}, discard())
+	}}, discardLogger())
 	require.NoError(t, err)
 	return security
 }
 
-func discard() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	return logger
 }
 
-func benchmarkSync(b *testing.B, serving, calling *rpc.Security) {
-	control := fixedControl{never: make(chan struct{})}
+func benchmarkSync(b *testing.B, serverSecurity, clientSecurity *rpc.Security) {
+	control := fixedControl{neverChanges: make(chan struct{})}
 	root := NewRoot(HandlerConfig{Name: "control-1", Lease: lease.DefaultDuration}, HandlerDeps{
 		Plans: control, Authority: NewLeaderAuthority(control, lease.DefaultDuration),
-		Logger: discard(), Registerer: prometheus.NewRegistry(),
+		Logger: discardLogger(), Registerer: prometheus.NewRegistry(),
 	})
 	mux := http.NewServeMux()
 	path, handler := martenstagev1connect.NewFollowServiceHandler(root, rpc.HandlerOptions())
-	mux.Handle(path, rpc.RequireRole(serving, handler, keys.RoleRouter))
-	server, err := rpc.NewServer("127.0.0.1:0", mux, serving, discard())
+	mux.Handle(path, rpc.RequireRole(serverSecurity, handler, keys.RoleRouter))
+	server, err := rpc.NewServer("127.0.0.1:0", mux, serverSecurity, discardLogger())
 	require.NoError(b, err)
 	go func() { _ = server.Serve() }()
 	defer func() { _ = server.Close() }()
 
 	var sent, received atomic.Int64
-	client := rpc.NewClient(calling, rpc.ClientConfig{
+	client := rpc.NewClient(clientSecurity, rpc.ClientConfig{
 		Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 			raw, err := (&net.Dialer{}).DialContext(ctx, network, address)
-			return countedConn{Conn: raw, sent: &sent, received: &received}, err
+			return countingConn{Conn: raw, sent: &sent, received: &received}, err
 		},
 	})
 	defer client.CloseIdle()
--- a/internal/follower/dial.go
+++ b/internal/follower/dial.go
@@ -7,18 +7,19 @@
 	"github.com/martenstage/martenstage/internal/rpc"
 )
 
-// NewDial returns a Dial over the network.
+// NewDial returns a Dial that creates one network client per address and
+// reuses it.
 func NewDial(client *rpc.Client) Dial {
 	var mutex sync.Mutex
 	clients := make(map[string]martenstagev1connect.FollowServiceClient)
 	return func(address string) martenstagev1connect.FollowServiceClient {
 		mutex.Lock()
 		defer mutex.Unlock()
-		known, found := clients[address]
+		existing, found := clients[address]
 		if !found {
-			known = martenstagev1connect.NewFollowServiceClient(client.HTTP(), client.URL(address), rpc.ClientOptions())
-			clients[address] = known
+			existing = martenstagev1connect.NewFollowServiceClient(client.HTTP(), client.URL(address), rpc.ClientOptions())
+			clients[address] = existing
 		}
-		return known
+		return existing
 	}
 }
--- a/internal/follower/doc.go
+++ b/internal/follower/doc.go
@@ -1,11 +1,11 @@
-// Package follower spreads what control decides: configuration, leases,
-// machine states and the list of live routers. Both ends of FollowService.Sync
-// are here. Handler is the serving end, run by control voters and by relays;
-// Follower is the calling end, run by relays and by routers, so a tree of any
-// depth is made of the same two parts.
+// Package follower distributes the state of the control group: configuration,
+// leases, machine states and the list of live routers. It implements both ends
+// of FollowService.Sync. Handler is the server, run by control voters and by
+// relays; Follower is the client, run by relays and by routers. A distribution
+// tree of any depth consists of these two parts.
 //
-// The decisions (who holds a lease until when, which revision is in force) are
-// those of package lease; this package owns the clock, the sockets and the
-// goroutines. docs/design/0007-leases-and-dissemination.md argues why no
-// router admits work under a revision lower than one reported in force.
+// Package lease decides who holds a lease until when and which revision is in
+// effect; this package owns the clock, the sockets and the goroutines.
+// docs/design/0007-leases-and-dissemination.md shows why no router admits work
+// under a revision lower than one that was reported to be in effect.
 package follower
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -19,35 +19,36 @@
 )
 
 const (
-	// callMargin is how much longer than the hold time a call may take. It has
-	// to cover a confirmation of the leadership.
+	// callMargin is how much longer than the hold time a call may take. It must
+	// cover a leadership confirmation.
 	callMargin = 1500 * time.Millisecond
-	// pokeSpacing is the least time that a call is given before new reports
-	// interrupt it, so that a busy subtree can't keep calls from ending.
-	pokeSpacing = 50 * time.Millisecond
-	// Pauses between calls that failed, doubled up to the longest.
-	shortestBackoff = 50 * time.Millisecond
-	longestBackoff  = time.Second
-	// preferredAfter is how long a follower stays with another upstream before
-	// it tries the one that it prefers.
-	preferredAfter = time.Minute
+	// minInterruptDelay is the minimum time between the start of a call and its
+	// interruption by new reports. Without it a busy subtree could prevent calls
+	// from completing.
+	minInterruptDelay = 50 * time.Millisecond
+	// The pause between failed calls doubles from minBackoff up to maxBackoff.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = time.Second
+	// preferredRetryInterval is how long a follower uses another upstream
+	// before it returns to its preferred one.
+	preferredRetryInterval = time.Minute
 )
 
-// Dial returns the client for a server at an address.
+// Dial returns the client of the server at an address.
 type Dial func(address string) martenstagev1connect.FollowServiceClient
 
-// Config describes a following process.
+// Config configures a Follower.
 type Config struct {
 	Node membership.Node
-	// Upstreams are the addresses to follow, relays or control voters. Each
-	// node orders them by its own name, so that followers spread evenly.
+	// Upstreams are the addresses of the relays or control voters to follow.
+	// Each node orders them by a hash of its name, which spreads followers evenly.
 	Upstreams []string
-	// Hold is how long a server may hold a call without news; 0 means
-	// lease.RenewInterval.
+	// Hold is how long a server may hold a call while nothing has changed;
+	// 0 means lease.RenewInterval.
 	Hold time.Duration
 }
 
-// Deps are the parts that a Follower works with.
+// Deps are the dependencies of a Follower.
 type Deps struct {
 	Dial Dial
 	Sink Sink
@@ -60,34 +61,34 @@
 	Random func() float64
 }
 
-// ErrNoUpstream is returned when there is nobody to follow.
+// ErrNoUpstream is returned by New when Config.Upstreams is empty.
 var ErrNoUpstream = errors.New("no upstream is configured")
 
 // Follower keeps a node's configuration and lease up to date by calling Sync
-// again and again.
+// in a loop.
 type Follower struct {
 	config  Config
 	deps    Deps
 	metrics *followerMetrics
-	// The following belong to the goroutine of Run.
+	// The following fields are used only by the goroutine of Run.
 	upstreams *upstreams
 	installed *plan.Plan
-	// resync asks for a whole plan, because the last delta did not fit.
-	resync  bool
-	holding bool
-	// lost is the upstream whose loss was recorded last; empty once any grants
-	// a lease again.
-	lost string
+	// resync requests a full plan, because the last delta could not be applied.
+	resync     bool
+	leaseValid bool
+	// lastLostUpstream is the upstream whose loss was recorded last; empty once
+	// any upstream grants a lease again.
+	lastLostUpstream string
 
 	mutex  sync.Mutex
 	holder lease.Holder
-	// upstream was the last to grant a lease.
-	upstream string
-	left     bool
-	rounds   rounds
+	// upstream is the address that granted the last lease.
+	upstream     string
+	deregistered bool
+	calls        callTracker
 }
 
-// New returns a Follower that has nothing installed.
+// New returns a Follower without a plan and without a lease.
 func New(config Config, deps Deps) (*Follower, error) {
 	if len(config.Upstreams) == 0 {
 		return nil, ErrNoUpstream
@@ -103,39 +104,40 @@
 		deps:      deps,
 		metrics:   newFollowerMetrics(deps.Registerer),
 		upstreams: newUpstreams(config.Node.Name, config.Upstreams, deps.Random),
-		rounds:    newRounds(),
+		calls:     newCallTracker(),
 	}, nil
 }
 
-// Run follows until the context ends or Leave is called.
+// Run calls Sync until the context ends or Deregister is called.
 func (f *Follower) Run(ctx context.Context) error {
-	for ctx.Err() == nil && !f.hasLeft() {
+	for ctx.Err() == nil && !f.isDeregistered() {
 		outcome := f.call(ctx)
 		f.metrics.calls.WithLabelValues(outcome.label()).Inc()
-		f.noticeLapse(steadyclock.Now())
+		f.recordLeaseChange(steadyclock.Now())
 		switch {
-		case outcome.poked:
+		case outcome.interrupted:
 		case outcome.granted():
-			f.lost = ""
-			f.upstreams.succeeded(steadyclock.Now())
+			f.lastLostUpstream = ""
+			f.upstreams.markSucceeded(steadyclock.Now())
 		default:
-			f.noticeLoss(ctx, outcome)
-			f.moveOn(ctx, outcome)
+			f.recordUpstreamLoss(ctx, outcome)
+			f.switchUpstream(ctx, outcome)
 		}
 	}
 	return ctx.Err()
 }
 
-// moveOn turns to another upstream, after a pause once all were tried.
-func (f *Follower) moveOn(ctx context.Context, outcome outcome) {
+// switchUpstream selects another upstream, and pauses first if all of them have
+// failed.
+func (f *Follower) switchUpstream(ctx context.Context, outcome outcome) {
 	from := f.upstreams.current()
 	var pause time.Duration
 	if outcome.redirect != "" {
 		pause = f.upstreams.redirect(outcome.redirect)
 	} else {
-		pause = f.upstreams.failed()
+		pause = f.upstreams.markFailed()
 	}
-	f.metrics.moves.Inc()
+	f.metrics.upstreamSwitches.Inc()
 	f.deps.Logger.WithFields(logrus.Fields{
 		"upstream": from, "next": f.upstreams.current(), "reason": outcome.reason(), "pause": pause.String(),
 	}).Info("no lease from the upstream")
@@ -144,31 +146,31 @@
 	}
 }
 
-// noticeLoss tells that the upstream that granted the last lease does not
-// answer. Those above may not know of the loss: a leader that was elected since
-// never heard of a relay that died before.
-func (f *Follower) noticeLoss(ctx context.Context, outcome outcome) {
+// recordUpstreamLoss records an event when the upstream that granted the last
+// lease does not answer. The servers above it may not know of the loss: a
+// leader elected later never had contact with a relay that failed before.
+func (f *Follower) recordUpstreamLoss(ctx context.Context, outcome outcome) {
 	address := f.upstreams.current()
-	if outcome.err == nil || ctx.Err() != nil || address != f.Upstream() || address == f.lost {
+	if outcome.err == nil || ctx.Err() != nil || address != f.Upstream() || address == f.lastLostUpstream {
 		return
 	}
-	f.lost = address
+	f.lastLostUpstream = address
 	now := steadyclock.Now()
 	f.deps.Events.Record(journal.Event{
 		Time: now, Kind: journal.KindUpstreamLost, Address: address, Detail: outcome.reason(), Count: 1, LastTime: now,
 	})
 }
 
-// noticeLapse tells when the lease was lost or gained.
-func (f *Follower) noticeLapse(now time.Time) {
+// recordLeaseChange records an event when the lease was gained or lost.
+func (f *Follower) recordLeaseChange(now time.Time) {
 	f.mutex.Lock()
 	valid := f.holder.Valid(now)
 	term := f.holder.Term()
 	f.mutex.Unlock()
-	if valid == f.holding {
+	if valid == f.leaseValid {
 		return
 	}
-	f.holding = valid
+	f.leaseValid = valid
 	kind := journal.KindLeaseGained
 	if !valid {
 		kind = journal.KindLeaseLost
@@ -179,22 +181,23 @@
 	}).Info("lease state changed")
 }
 
-// Poke sends the reports of the Reporter soon, in place of a call that is held.
+// Poke interrupts a held call, so that the reports of the Reporter are sent
+// soon with the next one.
 func (f *Follower) Poke() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.rounds.poke()
+	f.calls.interrupt()
 }
 
-// Refresh waits until a call that was sent after Refresh began has brought a
+// Refresh waits until a call sent after the start of Refresh has obtained a
 // lease, and with it the latest revision.
 func (f *Follower) Refresh(ctx context.Context) error {
 	f.mutex.Lock()
-	target := f.rounds.request()
+	target := f.calls.request()
 	f.mutex.Unlock()
 	for {
 		f.mutex.Lock()
-		reached, changed := f.rounds.reached(target)
+		reached, changed := f.calls.reached(target)
 		f.mutex.Unlock()
 		if reached {
 			return nil
@@ -207,8 +210,8 @@
 	}
 }
 
-// Lease returns the term, the revision that is installed and the end of the
-// lease; the end is zero when there is none.
+// Lease returns the term, the installed revision and the expiry time of the
+// lease; the time is zero when there is no lease.
 func (f *Follower) Lease() (term, revision uint64, until time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -222,24 +225,25 @@
 	return f.upstream
 }
 
-func (f *Follower) hasLeft() bool {
+func (f *Follower) isDeregistered() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.left
+	return f.deregistered
 }
 
-// Leave ends the lease and gives it back, so that nobody waits for it to
-// lapse. The node must not admit work any more when it calls Leave.
+// Leave deregisters the node: it ends the lease and releases it at the
+// upstream, so that no server waits for its expiry. The node must have stopped
+// admitting work before it calls Leave.
 func (f *Follower) Leave(ctx context.Context) error {
 	f.mutex.Lock()
-	f.left = true
+	f.deregistered = true
 	f.holder.End()
 	upstream := f.upstream
-	f.rounds.poke()
+	f.calls.interrupt()
 	f.mutex.Unlock()
 	f.deps.Sink.ExtendLease(0, time.Time{})
 	if upstream == "" {
 		return nil
 	}
-	return f.sendLeave(ctx, upstream)
+	return f.sendDeregistration(ctx, upstream)
 }
--- a/internal/follower/handler.go
+++ b/internal/follower/handler.go
@@ -22,37 +22,40 @@
 )
 
 const (
-	// maxHold bounds how long a call without news is held.
+	// maxHold bounds how long a call is held while nothing has changed.
 	maxHold = 2 * time.Second
-	// planDelay gathers revisions that are accepted at nearly the same time.
+	// planDelay batches revisions that are accepted at nearly the same time.
 	planDelay = 2 * time.Millisecond
-	// tableDelay gathers changes of machines, which are less urgent than
-	// revisions. It bounds the calls that they cause to 4 per second and child.
+	// tableDelay batches machine changes, which are less urgent than revisions.
+	// It bounds the calls that they cause to 4 per second and child.
 	tableDelay = 250 * time.Millisecond
-	// progressDelay gathers acknowledgements before they are summed up.
+	// progressDelay batches acknowledgements before they are aggregated.
 	progressDelay = 5 * time.Millisecond
-	// expireInterval is how often lapsed children are looked for.
+	// expireInterval is how often the handler checks for children whose lease
+	// has lapsed.
 	expireInterval = 250 * time.Millisecond
-	// leftMemory is how long a child that left is refused a lease. No call of
-	// its is under way any more after this time.
-	leftMemory = time.Minute
+	// deregisteredRetention is how long a deregistered child is refused a lease.
+	// None of its calls is still in flight after this time.
+	deregisteredRetention = time.Minute
 )
 
-// HandlerConfig describes a serving process.
+// HandlerConfig configures a Handler.
 type HandlerConfig struct {
 	// Name of this process, for events.
 	Name string
-	// Lease is the duration of leases; after a new term began, nothing is
-	// reported in force for one such time.
+	// Lease is the duration of leases. For one such duration after the start of
+	// a new term, no revision is reported to be in effect.
 	Lease time.Duration
-	// Root is true for control and false for relays. An earlier run of a relay
-	// is still counted by its upstream, an earlier leader by nobody.
+	// Root is true for control voters and false for relays. The leases of an
+	// earlier incarnation of a relay are still tracked by its upstream; those of
+	// an earlier leader are tracked by no one.
 	Root bool
-	// OnProgress, when set, is called after the revision in force below rose.
+	// OnProgress, when set, is called after the active revision of the subtree
+	// has increased.
 	OnProgress func()
 }
 
-// HandlerDeps are the parts that a Handler works with.
+// HandlerDeps are the dependencies of a Handler.
 type HandlerDeps struct {
 	Plans     PlanSource
 	Authority Authority
@@ -63,32 +66,32 @@
 	Registerer prometheus.Registerer
 }
 
-// Handler serves FollowService. Run must run beside it.
+// Handler serves FollowService. Run must be running while it serves.
 type Handler struct {
 	config  HandlerConfig
 	deps    HandlerDeps
 	metrics *handlerMetrics
-	// acknowledged tells Run that a child acknowledged a revision.
+	// acknowledged notifies Run that a child acknowledged a revision.
 	acknowledged chan struct{}
 
 	mutex   sync.Mutex
 	term    uint64
 	grantor *lease.Grantor
-	// plans are those that this process may still send deltas from.
+	// plans are the recent plans that this process can send deltas from.
 	plans *planHistory
 	roles map[string]string
-	// routes are what children reported of the requests that ended below.
+	// routes holds the children's reports on completed requests of the subtree.
 	routes *routestats.Collection
-	// inForce is the revision last passed to OnProgress.
-	inForce uint64
-	// news is closed and replaced when held calls should look again.
-	news chan struct{}
-	// published is the version of the machines at the last news. Changes of
-	// the routers are no news: they come with the next answer, within the hold
-	// time. Otherwise whoever joined, left or lapsed would make all followers
-	// call at once, and a fleet short of processor time would lose further
-	// leases by that.
-	published uint64
+	// activeRevision is the active revision at the last update.
+	activeRevision uint64
+	// changed is closed and replaced when held calls should check for changes.
+	changed chan struct{}
+	// publishedMachines is the version of the machine table at the last
+	// notification. Changes of the router table do not end held calls; they are
+	// sent with the next response, within the hold time. Otherwise every router
+	// that joins, deregisters or lapses would make all followers call at once,
+	// and a fleet short of CPU time would lose further leases through it.
+	publishedMachines uint64
 }
 
 // NewHandler returns a Handler without children.
@@ -105,12 +108,12 @@
 		plans:        newPlanHistory(),
 		roles:        make(map[string]string),
 		routes:       routestats.NewCollection(),
-		news:         make(chan struct{}),
+		changed:      make(chan struct{}),
 	}
 }
 
-// Sync answers one call of a child. It is held while there is no news. A
-// response without a lease means that another server has to be asked.
+// Sync serves one call of a child, and holds it while nothing has changed. A
+// response without a lease means that the child has to call another server.
 func (h *Handler) Sync(
 	ctx context.Context, request *connect.Request[v1.SyncRequest],
 ) (*connect.Response[v1.SyncResponse], error) {
@@ -119,12 +122,12 @@
 		return nil, err
 	}
 	if message.GetLeaving() {
-		h.leave(steadyclock.Now(), nodeFromWire(message.GetNode()))
+		h.deregister(steadyclock.Now(), nodeFromWire(message.GetNode()))
 		return connect.NewResponse(&v1.SyncResponse{}), nil
 	}
-	first := h.receive(steadyclock.Now(), message)
+	first := h.recordReports(steadyclock.Now(), message)
 	if !first {
-		if err := h.hold(ctx, message); err != nil {
+		if err := h.waitForChanges(ctx, message); err != nil {
 			return nil, err
 		}
 	}
@@ -135,27 +138,29 @@
 	return connect.NewResponse(response), nil
 }
 
-// checkCaller compares what a node says of itself with its certificate.
+// checkCaller checks the node identity in a call against the certificate of
+// the caller.
 func checkCaller(ctx context.Context, node *v1.NodeIdentity) error {
 	if node.GetName() == "" || node.GetBoot() == 0 {
-		return connect.NewError(connect.CodeInvalidArgument, errors.New("a node must state its name and boot number"))
+		return connect.NewError(connect.CodeInvalidArgument, errors.New("node identity lacks a name or boot number"))
 	}
 	identity, proved := rpc.IdentityFrom(ctx)
 	if proved && (identity.Name != node.GetName() || identity.Role != keys.Role(node.GetRole())) {
 		return connect.NewError(connect.CodePermissionDenied, errors.Newf(
-			"the certificate is of %s %s, the call of %s %s",
+			"certificate identifies %s %s, but the call identifies %s %s",
 			identity.Role, identity.Name, node.GetRole(), node.GetName()))
 	}
 	return nil
 }
 
-// receive takes in what a call reports and says whether the child is new here.
-func (h *Handler) receive(now time.Time, message *v1.SyncRequest) (first bool) {
+// recordReports records the reports of a call and returns whether the child is
+// new to this server.
+func (h *Handler) recordReports(now time.Time, message *v1.SyncRequest) (first bool) {
 	node := nodeFromWire(message.GetNode())
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	before, known := h.grantor.Acknowledged(childID(node))
-	if reported := acknowledgedBy(message); known && reported > before {
+	previous, known := h.grantor.Acknowledged(childID(node))
+	if reported := acknowledgedBy(message); known && reported > previous {
 		h.grantor.Acknowledge(now, childID(node), reported)
 		wait.Notify(h.acknowledged)
 	}
@@ -179,15 +184,15 @@
 	return !known
 }
 
-// RouteReports adds up what was reported of the requests that ended below.
+// RouteReports aggregates the reports on completed requests of the subtree.
 func (h *Handler) RouteReports() []*v1.RouteReport {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.routes.Sum(steadyclock.Now())
 }
 
-// acknowledgedBy is the revision that a child vouches for: a relay for its
-// whole subtree, a router for itself.
+// acknowledgedBy returns the revision that a child acknowledges: a relay for
+// its whole subtree, a router for itself.
 func acknowledgedBy(message *v1.SyncRequest) uint64 {
 	if message.GetNode().GetRole() == membership.RoleRelay {
 		return message.GetSubtreeRevision()
@@ -207,33 +212,34 @@
 	h.deps.Tables.Observe(now, membership.Observation{Address: wire.GetAddress(), State: state, Router: router})
 }
 
-// leave takes a lease back.
-func (h *Handler) leave(now time.Time, node membership.Node) {
+// deregister releases the lease of a child.
+func (h *Handler) deregister(now time.Time, node membership.Node) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.grantor.Leave(now, childID(node), leftMemory)
+	h.grantor.Leave(now, childID(node), deregisteredRetention)
 	h.deps.Tables.LapseChild(now, node.Name)
 	delete(h.roles, node.Name)
 	h.routes.Remove(node.Name)
 	wait.Notify(h.acknowledged)
-	h.deps.Logger.WithFields(logrus.Fields{"node": node.Name, "role": node.Role}).Info("lease given back")
+	h.deps.Logger.WithFields(logrus.Fields{"node": node.Name, "role": node.Role}).Info("lease released")
 }
 
-// hold waits until there is news for the child or its hold time is over.
-func (h *Handler) hold(ctx context.Context, message *v1.SyncRequest) error {
-	wait := min(message.GetHold().AsDuration(), maxHold)
-	if wait <= 0 {
+// waitForChanges waits until something changed for the child or the hold time
+// has passed.
+func (h *Handler) waitForChanges(ctx context.Context, message *v1.SyncRequest) error {
+	holdTime := min(message.GetHold().AsDuration(), maxHold)
+	if holdTime <= 0 {
 		return nil
 	}
-	timer := time.NewTimer(wait)
+	timer := time.NewTimer(holdTime)
 	defer timer.Stop()
 	for {
-		news, found := h.newsFor(message)
+		changed, found := h.changesFor(message)
 		if found {
 			return nil
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-timer.C:
 			return nil
 		case <-ctx.Done():
@@ -242,14 +248,14 @@
 	}
 }
 
-// newsFor returns the channel that is closed at the next news, and whether
-// there is some for the child now.
-func (h *Handler) newsFor(message *v1.SyncRequest) (<-chan struct{}, bool) {
+// changesFor returns the channel that is closed at the next change, and whether
+// there already are changes for the child.
+func (h *Handler) changesFor(message *v1.SyncRequest) (<-chan struct{}, bool) {
 	revision, _, _ := h.deps.Plans.Latest()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	found := revision > message.GetRevision() || h.published > message.GetMachinesVersion()
-	return h.news, found
+	found := revision > message.GetRevision() || h.publishedMachines > message.GetMachinesVersion()
+	return h.changed, found
 }
 
 // answer grants a lease if the authority allows it.
@@ -264,7 +270,7 @@
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
 	now := steadyclock.Now()
-	// Read after the confirmation, which guarantees that it is the latest.
+	// Read after the confirmation, which guarantees that this is the latest.
 	revision, latest, _ := h.deps.Plans.Latest()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -276,8 +282,8 @@
 	return h.grant(now, entitlement, message), nil
 }
 
-// enterTerm reports whether a confirmation is of the newest term; confirmations
-// may be delivered out of order.
+// enterTerm switches to the term of a confirmation if it is newer. It returns
+// false for an outdated term, since confirmations may arrive out of order.
 func (h *Handler) enterTerm(now time.Time, term uint64) bool {
 	switch {
 	case term < h.term:
@@ -286,10 +292,10 @@
 		return true
 	}
 	h.term = term
-	h.published = 0
+	h.publishedMachines = 0
 	if h.config.Root {
 		h.grantor = lease.NewGrantor(now.Add(lease.Lengthened(h.config.Lease)))
-		h.inForce = 0
+		h.activeRevision = 0
 		clear(h.roles)
 	}
 	h.deps.Tables.StartTerm(now, term)
@@ -321,6 +327,7 @@
 	return response
 }
 
+// addTables adds the table changes that the child does not have yet.
 func (h *Handler) addTables(now time.Time, message *v1.SyncRequest, response *v1.SyncResponse) {
 	if routers := h.deps.Tables.Routers(now); routers != nil {
 		if changes, found := routers.ChangesSince(message.GetRoutersVersion()); found {
--- a/internal/follower/handler_run.go
+++ b/internal/follower/handler_run.go
@@ -16,22 +16,22 @@
 	"github.com/martenstage/martenstage/internal/wait"
 )
 
-// Run wakes held calls when there is news, sums acknowledgements up and
-// notices lapsed children, until the context ends.
+// Run notifies held calls of changes, aggregates acknowledgements and expires
+// the leases of children, until the context ends.
 func (h *Handler) Run(ctx context.Context) {
 	expire := time.NewTicker(expireInterval)
 	defer expire.Stop()
 	tables := time.NewTicker(tableDelay)
 	defer tables.Stop()
-	var woken uint64
+	var notified uint64
 	for {
 		revision, _, changed := h.deps.Plans.Latest()
-		if revision > woken {
-			// Compared, and not only waited for: the change may have come while
-			// another case was being handled.
+		if revision > notified {
+			// The revision is compared as well as waited for, because it may have
+			// changed while another case was being handled.
 			wait.For(ctx, planDelay)
-			h.wake()
-			woken = revision
+			h.notifyHeldCalls()
+			notified = revision
 			continue
 		}
 		select {
@@ -42,16 +42,16 @@
 			h.publishMachines(steadyclock.Now())
 		case <-h.acknowledged:
 			wait.For(ctx, progressDelay)
-			h.progress(steadyclock.Now())
+			h.updateProgress(steadyclock.Now())
 		case <-expire.C:
-			h.expire(steadyclock.Now())
-			h.progress(steadyclock.Now())
+			h.expireChildren(steadyclock.Now())
+			h.updateProgress(steadyclock.Now())
 		}
 	}
 }
 
-// RunRoot keeps the term of a control voter known while no child calls, so
-// that the wait for leases of an earlier leader begins at the election. It
+// RunRoot keeps the term of a control voter up to date while no child calls, so
+// that the wait for the leases of an earlier leader starts at the election. It
 // runs until the context ends.
 func (h *Handler) RunRoot(ctx context.Context) {
 	ticker := time.NewTicker(lease.RenewInterval)
@@ -73,7 +73,7 @@
 	defer cancel()
 	entitlement, err := h.deps.Authority.Confirm(ctx, false)
 	if err != nil {
-		return // another voter leads, or none does; the next round asks again
+		return // another voter leads, or none does; retried at the next interval
 	}
 	now := steadyclock.Now()
 	revision, latest, _ := h.deps.Plans.Latest()
@@ -86,47 +86,49 @@
 	h.plans.install(revision, latest)
 }
 
-// wake lets held calls look for news again. Closing a channel wakes all of
-// them at a cost that does not depend on what they wait for.
-func (h *Handler) wake() {
+// notifyHeldCalls makes held calls check for changes. Closing a channel notifies
+// all of them at a cost that does not depend on what they wait for.
+func (h *Handler) notifyHeldCalls() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.wakeLocked()
+	h.notifyHeldCallsLocked()
 }
 
-func (h *Handler) wakeLocked() {
-	close(h.news)
-	h.news = make(chan struct{})
+func (h *Handler) notifyHeldCallsLocked() {
+	close(h.changed)
+	h.changed = make(chan struct{})
 }
 
-// publishMachines wakes held calls if machines changed since the last time.
+// publishMachines notifies held calls if the machine table changed since the
+// last notification.
 func (h *Handler) publishMachines(now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	machines := h.deps.Tables.Machines(now)
-	if machines != nil && machines.Version() != h.published {
-		h.published = machines.Version()
-		h.wakeLocked()
+	if machines != nil && machines.Version() != h.publishedMachines {
+		h.publishedMachines = machines.Version()
+		h.notifyHeldCallsLocked()
 	}
 }
 
-// progress sums up what is in force below.
-func (h *Handler) progress(now time.Time) {
+// updateProgress recomputes the active revision of the subtree.
+func (h *Handler) updateProgress(now time.Time) {
 	h.mutex.Lock()
 	h.installLocal()
-	inForce := h.grantor.InForce(now)
-	risen := inForce > h.inForce
-	h.inForce = inForce
+	active := h.grantor.InForce(now)
+	risen := active > h.activeRevision
+	h.activeRevision = active
 	h.metrics.children.Set(float64(h.grantor.Live(now)))
-	h.metrics.inForce.Set(float64(inForce))
+	h.metrics.activeRevision.Set(float64(active))
 	h.mutex.Unlock()
 	if risen && h.config.OnProgress != nil {
 		h.config.OnProgress()
 	}
 }
 
-// expire notices children whose lease has surely lapsed.
-func (h *Handler) expire(now time.Time) {
+// expireChildren removes children whose lease has certainly lapsed, and records
+// the loss.
+func (h *Handler) expireChildren(now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.deps.Tables.Expire(now)
@@ -134,36 +136,36 @@
 	if len(lapsed) == 0 {
 		return
 	}
-	back := lo.SliceToMap(h.grantor.Children(), func(child lease.ChildStatus) (string, bool) {
+	reconnected := lo.SliceToMap(h.grantor.Children(), func(child lease.ChildStatus) (string, bool) {
 		return child.ID.Name, true
 	})
-	lost := make(map[journal.Kind][]string)
+	lapsedByKind := make(map[journal.Kind][]string)
 	for _, child := range lapsed {
-		if back[child.Name] {
-			continue // an earlier run of a child that was restarted
+		if reconnected[child.Name] {
+			continue // an earlier incarnation of a restarted child
 		}
 		kind := journal.KindLeaseLost
 		if h.roles[child.Name] == membership.RoleRelay {
 			kind = journal.KindRelayLost
 		}
-		lost[kind] = append(lost[kind], child.Name)
+		lapsedByKind[kind] = append(lapsedByKind[kind], child.Name)
 		h.deps.Tables.LapseChild(now, child.Name)
 		delete(h.roles, child.Name)
 	}
 	for _, kind := range []journal.Kind{journal.KindRelayLost, journal.KindLeaseLost} {
-		h.recordLapsed(now, kind, lost[kind])
+		h.recordLapsed(now, kind, lapsedByKind[kind])
 	}
 }
 
-// Bounds of what is told of children whose leases lapsed at about the same
-// time, as those behind one switch do.
+// Bounds of the events for children whose leases lapse at about the same time,
+// for example because one network switch failed.
 const (
 	lapsedPerEvent = 50
 	lapsedEvents   = 100
 )
 
-// recordLapsed writes an event for up to lapsedPerEvent children at a time,
-// with their names as its detail.
+// recordLapsed records one event for up to lapsedPerEvent children, with their
+// names as its detail.
 func (h *Handler) recordLapsed(now time.Time, kind journal.Kind, names []string) {
 	chunks := lo.Chunk(names, lapsedPerEvent)
 	for _, chunk := range chunks[:min(len(chunks), lapsedEvents)] {
@@ -175,8 +177,8 @@
 	}
 }
 
-// RevisionInForce returns the highest revision that whoever admits work below
-// admits it under at least.
+// RevisionInForce returns the active revision of the subtree: every node that
+// admits work does so under this revision or a higher one.
 func (h *Handler) RevisionInForce() uint64 {
 	now := steadyclock.Now()
 	h.mutex.Lock()
@@ -185,9 +187,10 @@
 	return h.grantor.InForce(now)
 }
 
-// installLocal lets a relay count its own plan, which came from a confirmed
-// leader. A control voter counts only what it confirmed itself: one that lost
-// the lead still learns of revisions, but no more of who holds leases.
+// installLocal installs a relay's own plan, which came from a confirmed leader.
+// A control voter installs only revisions that it confirmed itself: after it
+// lost the leadership it still receives revisions, but no longer knows who
+// holds leases.
 func (h *Handler) installLocal() {
 	if h.config.Root {
 		return
@@ -197,15 +200,15 @@
 	h.plans.install(revision, latest)
 }
 
-// Children describes the direct children.
+// Children returns the status of the direct children.
 func (h *Handler) Children() []lease.ChildStatus {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.grantor.Children()
 }
 
-// UpdateTables calls the function while no call reads the tables, and lets
-// held calls look for news.
+// UpdateTables calls the function while no call reads the tables. Held calls
+// are notified of machine changes at the next tableDelay tick.
 func (h *Handler) UpdateTables(update func(now time.Time)) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -227,7 +230,7 @@
 	return &Root{Handler: NewHandler(config, deps), tables: tables}
 }
 
-// Run does what Handler.Run and Handler.RunRoot do, until the context ends.
+// Run runs Handler.Run and Handler.RunRoot until the context ends.
 func (r *Root) Run(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
@@ -238,18 +241,18 @@
 	<-done
 }
 
-// Nodes describes all nodes that are or were lately known.
+// Nodes returns the status of all nodes that are, or recently were, registered.
 func (r *Root) Nodes() []*v1.NodeStatus {
 	now := steadyclock.Now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	acknowledged := make(map[string]uint64)
 	for _, child := range r.grantor.Children() {
-		acknowledged[child.ID.Name] = child.Acknowledged // the latest run comes last
+		acknowledged[child.ID.Name] = child.Acknowledged // the latest incarnation comes last
 	}
 	return lo.Map(r.tables.Nodes(), func(view membership.NodeView, _ int) *v1.NodeStatus {
-		// A relay vouches for all its followers at once and names only those
-		// that are behind.
+		// A relay acknowledges a revision for all its followers at once and lists
+		// only those that lag behind.
 		if !view.Lapsed {
 			view.Revision = max(view.Revision, acknowledged[view.Name], acknowledged[view.Relay])
 		}
@@ -257,7 +260,7 @@
 	})
 }
 
-// Machines describes the machines that are not live.
+// Machines returns the state of the machines that are not live.
 func (r *Root) Machines() []*v1.MachineState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -269,7 +272,8 @@
 	r.UpdateTables(func(now time.Time) { r.tables.SetPlatform(now, list) })
 }
 
-// SetOperator notes an operator's word on a machine; Live withdraws it.
+// SetOperator records the state that an operator set for a machine; Live
+// withdraws it.
 func (r *Root) SetOperator(address string, state membership.State) {
 	r.UpdateTables(func(now time.Time) { r.tables.SetOperator(now, address, state) })
 }
--- a/internal/follower/loss_test.go
+++ b/internal/follower/loss_test.go
@@ -20,15 +20,15 @@
 	"github.com/martenstage/martenstage/internal/plan"
 )
 
-// mortalServer grants leases until it dies.
-type mortalServer struct {
+// failableServer grants leases until it is set to fail.
+type failableServer struct {
 	martenstagev1connect.FollowServiceClient
-	dead atomic.Bool
+	failed atomic.Bool
 }
 
-func (s *mortalServer) Sync(context.Context, *connect.Request[v1.SyncRequest]) (*connect.Response[v1.SyncResponse], error) {
+func (s *failableServer) Sync(context.Context, *connect.Request[v1.SyncRequest]) (*connect.Response[v1.SyncResponse], error) {
 	time.Sleep(100 * time.Millisecond)
-	if s.dead.Load() {
+	if s.failed.Load() {
 		return nil, errors.New("no answer")
 	}
 	response := &v1.SyncResponse{Term: 1, Revision: 1, Lease: durationpb.New(5 * time.Second)}
@@ -44,21 +44,21 @@
 func (discardSink) MergeMachines(membership.Changes[membership.Machine]) {}
 func (discardSink) Versions() (routers, machines uint64)                 { return 0, 0 }
 
-type keptEvents struct {
-	mutex sync.Mutex
-	kept  []journal.Event
+type recordedEvents struct {
+	mutex  sync.Mutex
+	events []journal.Event
 }
 
-func (e *keptEvents) Record(event journal.Event) {
+func (e *recordedEvents) Record(event journal.Event) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.kept = append(e.kept, event)
+	e.events = append(e.events, event)
 }
 
-func (e *keptEvents) lost() (addresses []string) {
+func (e *recordedEvents) lostUpstreams() (addresses []string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	for _, event := range e.kept {
+	for _, event := range e.events {
 		if event.Kind == journal.KindUpstreamLost {
 			addresses = append(addresses, event.Address)
 		}
@@ -68,28 +68,28 @@
 
 func TestLossOfTheUpstreamIsRecordedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		servers := map[string]*mortalServer{"relay-1": {}, "relay-2": {}}
-		events := &keptEvents{}
-		follows, err := New(Config{Node: membership.Node{Name: "router-1"}, Upstreams: []string{"relay-1", "relay-2"}}, Deps{
+		servers := map[string]*failableServer{"relay-1": {}, "relay-2": {}}
+		events := &recordedEvents{}
+		follower, err := New(Config{Node: membership.Node{Name: "router-1"}, Upstreams: []string{"relay-1", "relay-2"}}, Deps{
 			Dial: func(address string) martenstagev1connect.FollowServiceClient { return servers[address] },
-			Sink: discardSink{}, Events: events, Logger: discard(), Random: func() float64 { return 0 },
+			Sink: discardSink{}, Events: events, Logger: discardLogger(), Random: func() float64 { return 0 },
 		})
 		require.NoError(t, err)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
-		go func() { done <- follows.Run(ctx) }()
+		go func() { done <- follower.Run(ctx) }()
 
 		time.Sleep(3 * time.Second)
-		require.Empty(t, events.lost())
-		first := follows.Upstream()
-		servers[first].dead.Store(true)
+		require.Empty(t, events.lostUpstreams())
+		first := follower.Upstream()
+		servers[first].failed.Store(true)
 		time.Sleep(5 * time.Second)
-		require.Equal(t, []string{first}, events.lost())
-		second := follows.Upstream()
+		require.Equal(t, []string{first}, events.lostUpstreams())
+		second := follower.Upstream()
 		require.NotEqual(t, first, second)
-		servers[second].dead.Store(true)
+		servers[second].failed.Store(true)
 		time.Sleep(20 * time.Second)
-		require.Equal(t, []string{first, second}, events.lost())
+		require.Equal(t, []string{first, second}, events.lostUpstreams())
 		cancel()
 		require.ErrorIs(t, <-done, context.Canceled)
 	})
--- a/internal/follower/metrics.go
+++ b/internal/follower/metrics.go
@@ -5,12 +5,12 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// handlerMetrics are the metrics of the serving end.
+// handlerMetrics are the metrics of a Handler.
 type handlerMetrics struct {
-	granted  prometheus.Counter
-	refused  prometheus.Counter
-	children prometheus.Gauge
-	inForce  prometheus.Gauge
+	granted        prometheus.Counter
+	refused        prometheus.Counter
+	children       prometheus.Gauge
+	activeRevision prometheus.Gauge
 }
 
 func newHandlerMetrics(registerer prometheus.Registerer) *handlerMetrics {
@@ -25,24 +25,24 @@
 		children: factory.NewGauge(prometheus.GaugeOpts{
 			Name: "martenstage_lease_children", Help: "Direct children with a live lease.",
 		}),
-		inForce: factory.NewGauge(prometheus.GaugeOpts{
+		activeRevision: factory.NewGauge(prometheus.GaugeOpts{
 			Name: "martenstage_revision_in_force", Help: "Highest revision that is surely in force below.",
 		}),
 	}
 }
 
-// followerMetrics are the metrics of the calling end.
+// followerMetrics are the metrics of a Follower.
 type followerMetrics struct {
-	calls     *prometheus.CounterVec
-	moves     prometheus.Counter
-	revision  prometheus.Gauge
-	fullPlans prometheus.Counter
+	calls            *prometheus.CounterVec
+	upstreamSwitches prometheus.Counter
+	revision         prometheus.Gauge
+	fullPlans        prometheus.Counter
 }
 
-// Outcomes of a call besides the verdicts on its lease, as metric labels.
+// Metric labels of call outcomes, in addition to the lease verdicts.
 const (
-	outcomeFailed = "failed"
-	outcomePoked  = "interrupted"
+	outcomeFailed      = "failed"
+	outcomeInterrupted = "interrupted"
 )
 
 func newFollowerMetrics(registerer prometheus.Registerer) *followerMetrics {
@@ -51,7 +51,7 @@
 		calls: factory.NewCounterVec(prometheus.CounterOpts{
 			Name: "martenstage_follow_calls_total", Help: "Sync calls by outcome.",
 		}, []string{"outcome"}),
-		moves: factory.NewCounter(prometheus.CounterOpts{
+		upstreamSwitches: factory.NewCounter(prometheus.CounterOpts{
 			Name: "martenstage_follow_moves_total", Help: "Moves to another upstream.",
 		}),
 		revision: factory.NewGauge(prometheus.GaugeOpts{
--- a/internal/follower/plan_history.go
+++ b/internal/follower/plan_history.go
@@ -5,18 +5,19 @@
 	"github.com/martenstage/martenstage/internal/plan"
 )
 
-// keptPlans is how many revisions back a follower is sent a delta. At 37,000
-// changes a day they cover more than half a minute; whoever is further behind
-// is sent the whole plan.
-const keptPlans = 16
+// maxPlanHistory is how many revisions are kept as bases of deltas. At 37,000
+// changes a day they cover more than half a minute; a follower that lags
+// further behind is sent the full plan.
+const maxPlanHistory = 16
 
-// planHistory encodes the latest plan for followers at any revision, once for
-// each revision and not once for each follower.
+// planHistory encodes the latest plan for followers at any revision. It encodes
+// once per revision instead of once per follower.
 type planHistory struct {
 	revisions []uint64
 	plans     map[uint64]*plan.Plan
 	latest    uint64
-	// packed is the latest plan, packed when the first follower needs it whole.
+	// packed is the packed form of the latest plan, created when a follower
+	// first needs the full plan.
 	packed []byte
 	deltas map[uint64]*v1.PlanDelta
 }
@@ -33,7 +34,7 @@
 	h.latest = revision
 	h.revisions = append(h.revisions, revision)
 	h.plans[revision] = latest
-	if len(h.revisions) > keptPlans {
+	if len(h.revisions) > maxPlanHistory {
 		delete(h.plans, h.revisions[0])
 		h.revisions = h.revisions[1:]
 	}
@@ -41,8 +42,8 @@
 	clear(h.deltas)
 }
 
-// encode sets the plan or the delta of a response to a follower that has a
-// revision installed; neither when it has the latest.
+// encode sets the plan or the delta in the response to a follower with the
+// given installed revision; neither if that is the latest.
 func (h *planHistory) encode(installed uint64, response *v1.SyncResponse) {
 	if installed >= h.latest {
 		return
@@ -63,11 +64,11 @@
 }
 
 func (h *planHistory) delta(installed uint64, base *plan.Plan) *v1.PlanDelta {
-	known, cached := h.deltas[installed]
+	delta, cached := h.deltas[installed]
 	if !cached {
-		known = plan.Delta(base, h.plans[h.latest])
-		known.BaseRevision = installed
-		h.deltas[installed] = known
+		delta = plan.Delta(base, h.plans[h.latest])
+		delta.BaseRevision = installed
+		h.deltas[installed] = delta
 	}
-	return known
+	return delta
 }
--- a/internal/follower/root_tables_test.go
+++ b/internal/follower/root_tables_test.go
@@ -9,7 +9,7 @@
 	"github.com/martenstage/martenstage/internal/membership"
 )
 
-func TestObservationsEndWithTheRunOfTheRouter(t *testing.T) {
+func TestRouterRestartDropsItsObservations(t *testing.T) {
 	const address, router = "10.0.0.1:7000", "router-1"
 	start := time.Unix(1000, 0)
 	now := start.Add(time.Minute)
@@ -31,7 +31,7 @@
 	require.Empty(t, tables.Machines(now).Values())
 
 	now = now.Add(time.Second)
-	observe() // told in the call that reports the run
+	observe() // sent in the call that reports the new incarnation
 	tables.Report("relay-2", view(3))
 	tables.Report("relay-1", view(1)) // late
 	require.Len(t, tables.Machines(now).Values(), 1)
--- a/internal/follower/tables_test.go
+++ b/internal/follower/tables_test.go
@@ -16,31 +16,31 @@
 	"github.com/martenstage/martenstage/internal/membership"
 )
 
-// givenTables are tables that a test changes.
-type givenTables struct {
+// fakeTables are tables that the test sets directly.
+type fakeTables struct {
 	RootTables
 	routers  *membership.Table[membership.Node]
 	machines *membership.Table[membership.Machine]
 }
 
-func (t *givenTables) Routers(time.Time) *membership.Table[membership.Node]     { return t.routers }
-func (t *givenTables) Machines(time.Time) *membership.Table[membership.Machine] { return t.machines }
+func (t *fakeTables) Routers(time.Time) *membership.Table[membership.Node]     { return t.routers }
+func (t *fakeTables) Machines(time.Time) *membership.Table[membership.Machine] { return t.machines }
 
-// A change of a machine ends held calls. One of the live routers alone does
-// not, and comes with the answer at the end of the hold time.
-func TestRoutersComeWithTheNextAnswer(t *testing.T) {
+// A machine change ends held calls. A router change does not; it is sent with
+// the response at the end of the hold time.
+func TestRouterChangesDoNotEndHeldCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		control := fixedControl{never: make(chan struct{})}
-		tables := &givenTables{
+		control := fixedControl{neverChanges: make(chan struct{})}
+		tables := &fakeTables{
 			RootTables: *NewRootTables(), routers: membership.NewRouterTable(), machines: membership.NewMachineTable(),
 		}
 		tables.routers.StartTerm(1)
 		tables.machines.StartTerm(1)
 		handler := NewHandler(HandlerConfig{Name: "relay-1", Lease: lease.DefaultDuration}, HandlerDeps{
 			Plans: control, Authority: NewLeaderAuthority(control, lease.DefaultDuration), Tables: tables,
-			Logger: discard(), Registerer: prometheus.NewRegistry(),
+			Logger: discardLogger(), Registerer: prometheus.NewRegistry(),
 		})
 		go handler.Run(ctx)
 		request := &v1.SyncRequest{
@@ -59,7 +59,7 @@
 			time.AfterFunc(lease.RenewInterval/10, func() { handler.UpdateTables(change) })
 		}
 		call() // the first one is never held
-		call() // takes what the tables were when they began
+		call() // fetches the initial tables
 
 		whileHeld(func(time.Time) { tables.routers.Put(membership.Node{Name: "router-2", Role: membership.RoleRouter}) })
 		response, took := call()
--- a/internal/follower/upstreams.go
+++ b/internal/follower/upstreams.go
@@ -8,22 +8,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxRedirects is how many servers in a row may name another one. During an
-// election, voters name leaders that are no more.
+// maxRedirects bounds consecutive redirects. During an election, voters
+// redirect to leaders that have already lost the leadership.
 const maxRedirects = 2
 
-// upstreams picks whom to follow: the first of the node's own order that
-// grants leases, or whom that one redirects to.
+// upstreams selects the server to follow: the first in the node's order that
+// grants leases, or the server that this one redirects to.
 type upstreams struct {
 	ordered []string
 	index   int
-	// redirected overrides the choice until it fails.
-	redirected string
-	redirects  int
-	failures   int
-	random     func() float64
-	// awaySince is when a less preferred upstream first granted a lease.
-	awaySince time.Time
+	// redirectTarget overrides the selection until it fails.
+	redirectTarget string
+	redirects      int
+	failures       int
+	random         func() float64
+	// nonPreferredSince is when an upstream other than the first granted a lease,
+	// plus a random delay.
+	nonPreferredSince time.Time
 }
 
 func newUpstreams(node string, addresses []string, random func() float64) *upstreams {
@@ -32,8 +33,8 @@
 
 // rendezvousOrder sorts addresses by a hash of node and address, highest first
 // (Thaler and Ravishankar, "Using name-based mappings to increase hit rates",
-// 1998): each node has its own order, and losing an address moves only the
-// nodes that had it first.
+// 1998): each node has its own order, and the loss of an address moves only the
+// nodes that preferred it.
 func rendezvousOrder(node string, addresses []string) []string {
 	ordered := slices.Clone(addresses)
 	slices.SortFunc(ordered, func(left, right string) int {
@@ -46,48 +47,50 @@
 }
 
 func (u *upstreams) current() string {
-	if u.redirected != "" {
-		return u.redirected
+	if u.redirectTarget != "" {
+		return u.redirectTarget
 	}
 	return u.ordered[u.index]
 }
 
-// redirect follows a server's word on whom to ask. Servers that redirect to
-// themselves, or on and on, count as failed. It returns how long to wait.
+// redirect selects the server named in a redirect. A server that redirects to
+// itself, or more than maxRedirects redirects in a row, count as a failure. It
+// returns how long to wait before the next call.
 func (u *upstreams) redirect(address string) time.Duration {
 	u.redirects++
 	if u.redirects > maxRedirects || address == u.current() {
-		return u.failed()
+		return u.markFailed()
 	}
-	u.redirected = address
+	u.redirectTarget = address
 	return 0
 }
 
-// succeeded notes a lease and goes back to the preferred upstream after a
-// while, so that followers spread again after a relay returned.
-func (u *upstreams) succeeded(now time.Time) {
+// markSucceeded records a granted lease. After preferredRetryInterval with
+// another upstream it returns to the preferred one, so that followers are
+// evenly spread again after a relay has recovered.
+func (u *upstreams) markSucceeded(now time.Time) {
 	u.failures = 0
 	u.redirects = 0
 	if u.index == 0 {
-		u.awaySince = time.Time{}
+		u.nonPreferredSince = time.Time{}
 		return
 	}
-	if u.awaySince.IsZero() {
-		u.awaySince = now.Add(time.Duration(u.random() * float64(preferredAfter)))
+	if u.nonPreferredSince.IsZero() {
+		u.nonPreferredSince = now.Add(time.Duration(u.random() * float64(preferredRetryInterval)))
 		return
 	}
-	if now.Sub(u.awaySince) >= preferredAfter {
-		u.awaySince = time.Time{}
+	if now.Sub(u.nonPreferredSince) >= preferredRetryInterval {
+		u.nonPreferredSince = time.Time{}
 		u.index = 0
-		u.redirected = ""
+		u.redirectTarget = ""
 	}
 }
 
-// failed moves to the next upstream and returns how long to wait before it is
-// called. The first round over all is without pauses, since the lease may be
-// short of time already.
-func (u *upstreams) failed() time.Duration {
-	u.redirected = ""
+// markFailed selects the next upstream and returns how long to wait before
+// calling it. The first round over all upstreams has no pauses, since the lease
+// may be about to expire.
+func (u *upstreams) markFailed() time.Duration {
+	u.redirectTarget = ""
 	u.redirects = 0
 	u.index = (u.index + 1) % len(u.ordered)
 	u.failures++
@@ -96,8 +99,8 @@
 		return 0
 	}
 	const largestShift = 10
-	longest := min(shortestBackoff<<min(rounds-1, largestShift), longestBackoff)
-	// Full jitter, but never less than half: Brooker, "Exponential Backoff And
-	// Jitter" (2015).
-	return longest/2 + time.Duration(u.random()*float64(longest/2))
+	ceiling := min(minBackoff<<min(rounds-1, largestShift), maxBackoff)
+	// Equal jitter: between half of the ceiling and the ceiling (Brooker,
+	// "Exponential Backoff And Jitter", 2015).
+	return ceiling/2 + time.Duration(u.random()*float64(ceiling/2))
 }
--- a/internal/follower/wire.go
+++ b/internal/follower/wire.go
@@ -21,7 +21,7 @@
 	return &v1.NodeIdentity{Name: node.Name, Role: node.Role, Zone: node.Zone, Address: node.Address, Boot: node.Boot}
 }
 
-// StatusToWire encodes a node for reports and operators.
+// StatusToWire encodes a node for reports to upstreams and for operators.
 func StatusToWire(now time.Time, view membership.NodeView) *v1.NodeStatus {
 	return &v1.NodeStatus{
 		Node: view.Name, Role: view.Role, Zone: view.Zone, Address: view.Address, Boot: view.Boot,
@@ -48,8 +48,8 @@
 	})
 }
 
-// machineChangesToWire adds changes to a response. A machine that is no longer
-// listed is sent as live, without a source.
+// machineChangesToWire adds machine changes to a response. A machine that was
+// removed from the table is encoded as live, without a source.
 func machineChangesToWire(changes membership.Changes[membership.Machine], response *v1.SyncResponse) {
 	response.MachinesVersion = changes.Version
 	response.MachinesFull = changes.Full
@@ -67,7 +67,7 @@
 		state, known := membership.ParseState(wire.GetState())
 		switch {
 		case !known:
-			// A state of a later version is not understood and left out.
+			// States added by later versions are ignored.
 		case state == membership.Live:
 			changes.Removed = append(changes.Removed, wire.GetAddress())
 		default:
