--- a/internal/relay/cost_test.go
+++ b/internal/relay/cost_test.go
@@ -20,11 +20,11 @@
 	"github.com/martenstage/martenstage/internal/rpc"
 )
 
-// BenchmarkChangeInForce measures, over real sockets and in one process, how
-// long an accepted change takes until control knows it in force at all
-// followers, and what a second without changes costs per follower in processor
-// time of all ends together.
-func BenchmarkChangeInForce(b *testing.B) {
+// BenchmarkChangeTakesEffect measures, over real sockets and in one process, how
+// long it takes until control knows that an accepted change is in effect at all
+// followers. It also measures the CPU time of all processes per follower and
+// second without changes.
+func BenchmarkChangeTakesEffect(b *testing.B) {
 	for _, size := range []struct{ relays, followers int }{{1, 100}, {4, 400}, {4, 900}, {20, 4500}} {
 		b.Run(fmt.Sprintf("relays=%d/followers=%d", size.relays, size.followers), func(b *testing.B) {
 			benchmarkChange(b, size.relays, size.followers)
@@ -32,11 +32,11 @@
 	}
 }
 
-// served runs a service on a socket until the context ends.
-func served(ctx context.Context, b *testing.B, service martenstagev1connect.FollowServiceHandler) string {
+// startServer serves a service on a socket until the context ends.
+func startServer(ctx context.Context, b *testing.B, service martenstagev1connect.FollowServiceHandler) string {
 	mux := http.NewServeMux()
 	mux.Handle(martenstagev1connect.NewFollowServiceHandler(service, rpc.HandlerOptions()))
-	server, err := rpc.NewServer("127.0.0.1:0", mux, rpc.Plaintext(), quiet())
+	server, err := rpc.NewServer("127.0.0.1:0", mux, rpc.Plaintext(), discardLogger())
 	require.NoError(b, err)
 	go func() { _ = server.Serve() }()
 	context.AfterFunc(ctx, func() { _ = server.Close() })
@@ -48,41 +48,41 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer cancel()
-	group := &group{changed: make(chan struct{})}
+	group := &fakeConsensus{changed: make(chan struct{})}
 	group.elect("control-1")
 	revision := group.accept()
 	root := follower.NewRoot(
 		follower.HandlerConfig{Name: "control-1", Lease: lease.DefaultDuration},
 		follower.HandlerDeps{
-			Plans:     &voter{name: "control-1", group: group},
-			Authority: follower.NewLeaderAuthority(&voter{name: "control-1", group: group}, lease.DefaultDuration),
-			Logger:    quiet(), Registerer: prometheus.NewRegistry(),
+			Plans:     &fakeVoter{name: "control-1", group: group},
+			Authority: follower.NewLeaderAuthority(&fakeVoter{name: "control-1", group: group}, lease.DefaultDuration),
+			Logger:    discardLogger(), Registerer: prometheus.NewRegistry(),
 		})
 	running.Go(func() { root.Run(ctx) })
-	control := served(ctx, b, root)
+	control := startServer(ctx, b, root)
 	addresses := make([]string, 0, relays)
 	for number := range relays {
 		relay, err := New(
 			Config{Name: fmt.Sprintf("relay-%d", number), Boot: 1, Upstreams: []string{control}},
 			Deps{
-				Dial: dialAlone(), Logger: quiet(), Registerer: prometheus.NewRegistry(), Random: half,
+				Dial: newSeparateDial(), Logger: discardLogger(), Registerer: prometheus.NewRegistry(), Random: fixedRandom,
 			})
 		require.NoError(b, err)
 		running.Go(func() { _ = relay.Run(ctx) })
-		addresses = append(addresses, served(ctx, b, relay.Service()))
+		addresses = append(addresses, startServer(ctx, b, relay.Service()))
 	}
 	for number := range followers {
-		node := &router{routers: membership.NewRouterTable(), machines: membership.NewMachineTable()}
-		upper, err := follower.New(
+		node := &fakeRouter{routers: membership.NewRouterTable(), machines: membership.NewMachineTable()}
+		routerFollower, err := follower.New(
 			follower.Config{
 				Node:      membership.Node{Name: fmt.Sprintf("router-%d", number), Role: membership.RoleRouter, Boot: 1},
 				Upstreams: addresses,
 			},
 			follower.Deps{
-				Dial: dialAlone(), Sink: node, Logger: quiet(), Registerer: prometheus.NewRegistry(), Random: half,
+				Dial: newSeparateDial(), Sink: node, Logger: discardLogger(), Registerer: prometheus.NewRegistry(), Random: fixedRandom,
 			})
 		require.NoError(b, err)
-		running.Go(func() { _ = upper.Run(ctx) })
+		running.Go(func() { _ = routerFollower.Run(ctx) })
 	}
 	await := func(revision uint64) {
 		for root.RevisionInForce() < revision {
@@ -94,9 +94,9 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	const quietTime = 5 * time.Second
-	before := processorTime()
+	before := cpuTime()
 	time.Sleep(quietTime)
-	used := processorTime() - before
+	used := cpuTime() - before
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	b.ResetTimer()
@@ -107,13 +107,14 @@
 	b.ReportMetric(float64(memory.HeapInuse)/float64(followers)/1024, "heap-KiB/follower")
 }
 
-// dialAlone dials on connections of its own, as a process of its own would.
-func dialAlone() follower.Dial {
+// newSeparateDial returns a Dial with its own connections, as a separate process
+// would have.
+func newSeparateDial() follower.Dial {
 	return follower.NewDial(rpc.NewClient(rpc.Plaintext(), rpc.ClientConfig{}))
 }
 
-// processorTime is what this process has used so far.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time used by this process so far.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
--- a/internal/relay/failure_test.go
+++ b/internal/relay/failure_test.go
@@ -36,8 +36,8 @@
 	return details
 }
 
-// requireLeases checks over a time that routers hold a lease at every moment.
-func requireLeases(t *testing.T, routers []*router, over time.Duration) {
+// requireLeases checks for a period that the routers always hold a lease.
+func requireLeases(t *testing.T, routers []*fakeRouter, over time.Duration) {
 	t.Helper()
 	const step = 50 * time.Millisecond
 	for begun := time.Now(); time.Since(begun) < over; time.Sleep(step) {
@@ -48,10 +48,10 @@
 	}
 }
 
-// TestRoutersOfALostRelayMoveOn loses one of two relays, by the end of its
-// process and by a silent cut. No router is without a lease for a moment, a
-// change comes into force at all of them, and control journals the loss.
-func TestRoutersOfALostRelayMoveOn(t *testing.T) {
+// TestRoutersSwitchFromLostRelay loses one of two relays, by the end of its
+// process and by a silent network cut. Every router must always hold a lease, a
+// change must take effect at all of them, and control must journal the loss.
+func TestRoutersSwitchFromLostRelay(t *testing.T) {
 	for name, lose := range map[string]func(fleet *fleet, end func()){
 		"its process ends": func(fleet *fleet, end func()) { end(); fleet.network.serve("relay-1", nil) },
 		"it is cut off silently": func(fleet *fleet, _ func()) {
@@ -67,7 +67,7 @@
 				relayContext, endRelay := context.WithCancel(ctx)
 				lost := fleet.startRelay(relayContext, "relay-1", "control-1")
 				kept := fleet.startRelay(ctx, "relay-2", "control-1")
-				var routers []*router
+				var routers []*fakeRouter
 				for number := range 4 {
 					routers = append(routers, fleet.startRouter(ctx, fmt.Sprintf("router-%d", number), "relay-1", "relay-2"))
 				}
@@ -95,15 +95,15 @@
 }
 
 // TestRestartedRouterWaitsForTheLatest starts a router at a relay that has a
-// valid lease and an old plan, because it was cut off from control a moment
-// ago. The router admits nothing there, and the latest once it is to be had.
+// valid lease but an old plan, because it was just cut off from control. The
+// router must admit nothing until it can get the latest revision.
 func TestRestartedRouterWaitsForTheLatest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		fleet := newFleet(t, ctx, "control-1")
 		stale := fleet.startRelay(ctx, "relay-1", "control-1")
 		time.Sleep(15 * time.Second)
-		require.EqualValues(t, 1, stale.RevisionInForce())
+		require.EqualValues(t, 1, stale.ActiveRevision())
 		fleet.network.cutBoth("relay-1", "control-1", true)
 		revision := fleet.group.accept()
 		router := fleet.startRouter(ctx, "router-1", "relay-1")
@@ -122,16 +122,17 @@
 	})
 }
 
-// TestOldLeaderSetsNobodyBack cuts the leader off from the other voters but not
-// from the routers. Routers that follow the new leader, and one that restarts
-// beside the old, never admit under the revision that the old one knows.
-func TestOldLeaderSetsNobodyBack(t *testing.T) {
+// TestOldLeaderDoesNotRevertRouters cuts the leader off from the other voters
+// but not from the routers. Routers that follow the new leader, and one that
+// starts with only the old leader as upstream, must never admit work under the
+// old leader's revision.
+func TestOldLeaderDoesNotRevertRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		fleet := newFleet(t, ctx, "control-1", "control-2")
 		steady := fleet.startRouter(ctx, "router-1", "control-1", "control-2")
 		time.Sleep(15 * time.Second)
-		fleet.voters["control-1"].freeze(true)
+		fleet.voters["control-1"].setIsolated(true)
 		fleet.group.elect("control-2")
 		time.Sleep(15 * time.Second)
 		revision := fleet.group.accept()
@@ -143,7 +144,7 @@
 		restarted := fleet.startRouter(ctx, "router-2", "control-1", "control-2")
 		beside := fleet.startRouter(ctx, "router-3", "control-1")
 		for range 600 {
-			for _, router := range []*router{steady, restarted, beside} {
+			for _, router := range []*fakeRouter{steady, restarted, beside} {
 				if admitted, valid := router.admits(); valid {
 					require.Equal(t, revision, admitted, router.name)
 				}
--- a/internal/relay/network_test.go
+++ b/internal/relay/network_test.go
@@ -24,14 +24,14 @@
 )
 
 // network carries Sync calls between named processes. A cut direction drops
-// packets silently: the caller hears nothing until its own time is over.
+// packets silently: the caller gets no response before its own timeout.
 type network struct {
 	mutex   sync.Mutex
 	cuts    map[string]bool
 	servers map[string]martenstagev1connect.FollowServiceHandler
 }
 
-const oneWay = time.Millisecond
+const oneWayDelay = time.Millisecond
 
 func newNetwork() *network {
 	return &network{cuts: make(map[string]bool), servers: make(map[string]martenstagev1connect.FollowServiceHandler)}
@@ -50,7 +50,7 @@
 
 // pass carries a packet or blocks until the caller gives up.
 func (n *network) pass(ctx context.Context, from, to string) error {
-	time.Sleep(oneWay)
+	time.Sleep(oneWayDelay)
 	n.mutex.Lock()
 	dropped := n.cuts[from+">"+to]
 	n.mutex.Unlock()
@@ -60,12 +60,12 @@
 	return ctx.Err()
 }
 
-type link struct {
+type connection struct {
 	network  *network
 	from, to string
 }
 
-func (l link) Sync(
+func (l connection) Sync(
 	ctx context.Context, request *connect.Request[v1.SyncRequest],
 ) (*connect.Response[v1.SyncResponse], error) {
 	if err := l.network.pass(ctx, l.from, l.to); err != nil {
@@ -89,7 +89,7 @@
 
 func (n *network) dial(from string) follower.Dial {
 	return func(to string) martenstagev1connect.FollowServiceClient {
-		return link{network: n, from: from, to: to}
+		return connection{network: n, from: from, to: to}
 	}
 }
 
@@ -99,8 +99,8 @@
 	n.servers[name] = handler
 }
 
-// group stands in for the consensus of the control voters.
-type group struct {
+// fakeConsensus replaces the consensus of the control voters.
+type fakeConsensus struct {
 	network *network
 	voters  []string
 
@@ -112,14 +112,14 @@
 	changed  chan struct{}
 }
 
-func (g *group) elect(leader string) {
+func (g *fakeConsensus) elect(leader string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.term++
 	g.leader = leader
 }
 
-func (g *group) accept() uint64 {
+func (g *fakeConsensus) accept() uint64 {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.revision++
@@ -129,50 +129,50 @@
 	return g.revision
 }
 
-// voter is one member of the group. A voter that was cut off goes on believing
-// in its old term and never hears of new revisions.
-type voter struct {
+// fakeVoter is one member of the group. An isolated voter keeps its old term and
+// receives no new revisions.
+type fakeVoter struct {
 	name  string
-	group *group
+	group *fakeConsensus
 
-	mutex         sync.Mutex
-	frozen        bool
-	seenRevision  uint64
-	seenPlan      *plan.Plan
-	neverNotified chan struct{}
+	mutex            sync.Mutex
+	isolated         bool
+	isolatedRevision uint64
+	isolatedPlan     *plan.Plan
+	neverChanges     chan struct{}
 }
 
-func (v *voter) freeze(frozen bool) {
+func (v *fakeVoter) setIsolated(frozen bool) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.seenRevision, v.seenPlan, _ = v.group.snapshot()
-	v.frozen = frozen
+	v.isolatedRevision, v.isolatedPlan, _ = v.group.snapshot()
+	v.isolated = frozen
 }
 
-func (g *group) snapshot() (uint64, *plan.Plan, <-chan struct{}) {
+func (g *fakeConsensus) snapshot() (uint64, *plan.Plan, <-chan struct{}) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.revision, g.latest, g.changed
 }
 
-func (v *voter) Latest() (uint64, *plan.Plan, <-chan struct{}) {
+func (v *fakeVoter) Latest() (uint64, *plan.Plan, <-chan struct{}) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	if v.frozen {
-		return v.seenRevision, v.seenPlan, v.neverNotified
+	if v.isolated {
+		return v.isolatedRevision, v.isolatedPlan, v.neverChanges
 	}
 	return v.group.snapshot()
 }
 
-func (v *voter) ConfirmLeadership(ctx context.Context) (uint64, error) {
+func (v *fakeVoter) ConfirmLeadership(ctx context.Context) (uint64, error) {
 	v.mutex.Lock()
-	frozen := v.frozen
+	frozen := v.isolated
 	v.mutex.Unlock()
 	if frozen {
 		<-ctx.Done()
 		return 0, ctx.Err()
 	}
-	time.Sleep(2 * oneWay)
+	time.Sleep(2 * oneWayDelay)
 	v.group.mutex.Lock()
 	defer v.group.mutex.Unlock()
 	if v.group.leader != v.name {
@@ -183,35 +183,35 @@
 
 // fleet is a control group, relays and routers on one network.
 type fleet struct {
-	t       *testing.T
-	ctx     context.Context
-	network *network
-	group   *group
-	voters  map[string]*voter
-	roots   map[string]*follower.Root
-	events  map[string]*eventLog
-	running sync.WaitGroup
-	boots   uint64
+	t        *testing.T
+	ctx      context.Context
+	network  *network
+	group    *fakeConsensus
+	voters   map[string]*fakeVoter
+	roots    map[string]*follower.Root
+	events   map[string]*eventLog
+	running  sync.WaitGroup
+	lastBoot uint64
 }
 
 func newFleet(t *testing.T, ctx context.Context, voters ...string) *fleet {
 	network := newNetwork()
 	fleet := &fleet{
 		t: t, ctx: ctx, network: network,
-		group:  &group{network: network, voters: voters, changed: make(chan struct{})},
-		voters: make(map[string]*voter), roots: make(map[string]*follower.Root),
+		group:  &fakeConsensus{network: network, voters: voters, changed: make(chan struct{})},
+		voters: make(map[string]*fakeVoter), roots: make(map[string]*follower.Root),
 		events: make(map[string]*eventLog),
 	}
 	fleet.group.elect(voters[0])
 	fleet.group.accept()
 	for _, name := range voters {
-		member := &voter{name: name, group: fleet.group, neverNotified: make(chan struct{})}
+		member := &fakeVoter{name: name, group: fleet.group, neverChanges: make(chan struct{})}
 		events := &eventLog{}
 		root := follower.NewRoot(
 			follower.HandlerConfig{Name: name, Lease: lease.DefaultDuration},
 			follower.HandlerDeps{
 				Plans: member, Authority: follower.NewLeaderAuthority(member, lease.DefaultDuration),
-				Events: events, Logger: quiet(), Registerer: prometheus.NewRegistry(),
+				Events: events, Logger: discardLogger(), Registerer: prometheus.NewRegistry(),
 			})
 		fleet.events[name] = events
 		fleet.voters[name], fleet.roots[name] = member, root
@@ -229,45 +229,45 @@
 	}()
 }
 
-func quiet() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	return logger
 }
 
-func half() float64 { return 0.5 }
+func fixedRandom() float64 { return 0.5 }
 
 func (f *fleet) startRelay(ctx context.Context, name string, upstreams ...string) *Relay {
-	f.boots++
+	f.lastBoot++
 	relay, err := New(
-		Config{Name: name, Boot: f.boots, Upstreams: upstreams},
-		Deps{Dial: f.network.dial(name), Logger: quiet(), Registerer: prometheus.NewRegistry(), Random: half})
+		Config{Name: name, Boot: f.lastBoot, Upstreams: upstreams},
+		Deps{Dial: f.network.dial(name), Logger: discardLogger(), Registerer: prometheus.NewRegistry(), Random: fixedRandom})
 	require.NoError(f.t, err)
 	f.network.serve(name, relay.Service())
 	f.goRun(ctx, func(ctx context.Context) { _ = relay.Run(ctx) })
 	return relay
 }
 
-func (f *fleet) startRouter(ctx context.Context, name string, upstreams ...string) *router {
-	f.boots++
-	started := &router{name: name, routers: membership.NewRouterTable(), machines: membership.NewMachineTable()}
-	upper, err := follower.New(
+func (f *fleet) startRouter(ctx context.Context, name string, upstreams ...string) *fakeRouter {
+	f.lastBoot++
+	started := &fakeRouter{name: name, routers: membership.NewRouterTable(), machines: membership.NewMachineTable()}
+	upstreamFollower, err := follower.New(
 		follower.Config{
-			Node:      membership.Node{Name: name, Role: membership.RoleRouter, Boot: f.boots},
+			Node:      membership.Node{Name: name, Role: membership.RoleRouter, Boot: f.lastBoot},
 			Upstreams: upstreams,
 		},
 		follower.Deps{
-			Dial: f.network.dial(name), Sink: started, Logger: quiet(),
-			Registerer: prometheus.NewRegistry(), Random: half,
+			Dial: f.network.dial(name), Sink: started, Logger: discardLogger(),
+			Registerer: prometheus.NewRegistry(), Random: fixedRandom,
 		})
 	require.NoError(f.t, err)
-	started.follower = upper
-	f.goRun(ctx, func(ctx context.Context) { _ = upper.Run(ctx) })
+	started.follower = upstreamFollower
+	f.goRun(ctx, func(ctx context.Context) { _ = upstreamFollower.Run(ctx) })
 	return started
 }
 
-// router records what a router may admit.
-type router struct {
+// fakeRouter records the revision and the lease that a router admits work under.
+type fakeRouter struct {
 	name     string
 	follower *follower.Follower
 
@@ -278,31 +278,31 @@
 	machines *membership.Table[membership.Machine]
 }
 
-func (r *router) InstallPlan(revision uint64, _ *plan.Plan) {
+func (r *fakeRouter) InstallPlan(revision uint64, _ *plan.Plan) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.revision = revision
 }
 
-func (r *router) ExtendLease(_ uint64, until time.Time) {
+func (r *fakeRouter) ExtendLease(_ uint64, until time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.until = until
 }
 
-func (r *router) MergeRouters(changes membership.Changes[membership.Node]) {
+func (r *fakeRouter) MergeRouters(changes membership.Changes[membership.Node]) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.routers.Merge(changes)
 }
 
-func (r *router) MergeMachines(changes membership.Changes[membership.Machine]) {
+func (r *fakeRouter) MergeMachines(changes membership.Changes[membership.Machine]) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.machines.Merge(changes)
 }
 
-func (r *router) Versions() (uint64, uint64) {
+func (r *fakeRouter) Versions() (uint64, uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.routers.Version(), r.machines.Version()
@@ -310,7 +310,7 @@
 
 // admits returns the revision that the router admits work under now, and false
 // when it admits none.
-func (r *router) admits() (uint64, bool) {
+func (r *fakeRouter) admits() (uint64, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.revision, time.Now().Before(r.until)
--- a/internal/relay/process.go
+++ b/internal/relay/process.go
@@ -24,7 +24,7 @@
 	"github.com/martenstage/martenstage/internal/spool"
 )
 
-// spoolFolder is the folder of the event spool under the data folder.
+// spoolFolder is the subfolder of the data folder that holds the event spool.
 const spoolFolder = "events"
 
 // Process is a relay with its listeners.
@@ -41,7 +41,8 @@
 	metrics  net.Listener
 }
 
-// Open reads the keys and listens. Errors carry the exit code of the process.
+// Open loads the keys and opens the listeners. Errors carry the exit code of
+// the process.
 func Open(options *Options, logger *logrus.Logger, registry *prometheus.Registry) (*Process, error) {
 	process := &Process{options: options, logger: logger, registry: registry}
 	var err error
@@ -63,9 +64,10 @@
 	return process, nil
 }
 
-// bootNumber is higher at every start, as long as the machine's clock is not
-// set back by more than the time that a start takes.
-func bootNumber() uint64 { return uint64(time.Now().UnixNano()) } // The wall clock: it tells starts apart.
+// bootNumber returns a number that is higher at every start, unless the clock
+// of the machine is set back by more than the time that a start takes. It is
+// the wall clock time, which distinguishes starts.
+func bootNumber() uint64 { return uint64(time.Now().UnixNano()) }
 
 func (p *Process) openSpool() error {
 	if p.options.DataFolder == "" {
@@ -120,22 +122,22 @@
 	return nil
 }
 
-// Address returns the address that is listened on.
+// Address returns the listen address.
 func (p *Process) Address() string { return p.listener.Address() }
 
-// Run serves until stopping ends. A nil error is a planned stop.
+// Run serves until the context stopping ends. A nil error means a planned stop.
 func (p *Process) Run(stopping context.Context) error {
 	running, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var duties sync.WaitGroup
+	var goroutines sync.WaitGroup
 	failed := make(chan error, 2)
-	duties.Go(func() { failed <- p.relay.Run(running) })
-	duties.Go(func() {
+	goroutines.Go(func() { failed <- p.relay.Run(running) })
+	goroutines.Go(func() {
 		if err := p.listener.Serve(); err != nil {
 			failed <- err
 		}
 	})
-	p.startHelpers(running, &duties)
+	p.startBackgroundTasks(running, &goroutines)
 	p.logger.WithFields(logrus.Fields{
 		logging.FieldRole: "relay", logging.FieldNode: p.options.Name, logging.FieldAddress: p.Address(),
 	}).Info("relay_started")
@@ -146,32 +148,34 @@
 	case failure = <-failed:
 	}
 	p.stop(cancel)
-	duties.Wait()
+	goroutines.Wait()
 	p.client.CloseIdle()
 	p.logger.Info("relay_stopped")
 	return errors.CombineErrors(failure, p.closeSpool())
 }
 
-// startHelpers starts what runs beside the relay.
-func (p *Process) startHelpers(running context.Context, duties *sync.WaitGroup) {
+// startBackgroundTasks starts the event spool, the key reloader and the metrics
+// server, as far as they are configured.
+func (p *Process) startBackgroundTasks(running context.Context, goroutines *sync.WaitGroup) {
 	if p.spool != nil {
 		p.spool.RecordStart("relay started")
-		duties.Go(func() { p.spool.Run(running) })
+		goroutines.Go(func() { p.spool.Run(running) })
 	}
 	if reloader := p.security.Reloader(); reloader != nil {
-		duties.Go(func() { reloader.Run(running) })
+		goroutines.Go(func() { reloader.Run(running) })
 	}
 	if p.metrics != nil {
-		duties.Go(func() { p.serveMetrics(running) })
+		goroutines.Go(func() { p.serveMetrics(running) })
 	}
 }
 
-// stop closes the listener once the calls under way are answered, so that
-// followers turn to another relay without waiting for a timeout. Their leases
-// stay valid meanwhile; control counts them until this relay's own would lapse.
+// stop closes the listener once the calls in flight are answered, so that
+// followers switch to another relay without waiting for a timeout. Their leases
+// stay valid meanwhile; control accounts for them until this relay's own lease
+// would lapse.
 func (p *Process) stop(cancel context.CancelFunc) {
-	ctx, end := context.WithTimeout(context.Background(), p.options.StopLimit)
-	defer end()
+	ctx, cancelTimeout := context.WithTimeout(context.Background(), p.options.StopLimit)
+	defer cancelTimeout()
 	if err := p.listener.Shutdown(ctx); err != nil {
 		p.logger.WithField("reason", err).Warn("calls cut off")
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,9 +1,10 @@
-// Package relay fans out what control decides. A relay follows control, or
-// another relay, with one Sync call at a time, and serves Sync to the routers
-// of its zone: plans, leases within its own lease, machine states and the list
-// of routers. What its followers report, it sums up into its own calls: one
-// lowest revision for all, and those followers that came, left or are behind.
-// So control's cost grows with the number of relays, not of routers.
+// Package relay distributes the state of the control group. A relay follows
+// control, or another relay, with one Sync call at a time, and serves Sync to
+// the routers of its zone: plans, leases within its own lease, machine states
+// and the list of routers. It aggregates the reports of its followers into its
+// own calls: the lowest revision of all, and the followers that joined, left or
+// lag behind. The cost of control thus grows with the number of relays, not of
+// routers.
 package relay
 
 import (
@@ -26,7 +27,7 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// Config describes a relay.
+// Config configures a Relay.
 type Config struct {
 	Name    string
 	Zone    string
@@ -37,7 +38,7 @@
 	Upstreams []string
 }
 
-// Deps are the parts that a relay works with.
+// Deps are the dependencies of a Relay.
 type Deps struct {
 	Dial follower.Dial
 	// Events may be nil.
@@ -61,27 +62,27 @@
 	changed  chan struct{}
 	term     uint64
 	until    time.Time
-	// routes is the pace of reports about requests.
+	// routes limits the rate of reports on requests.
 	routes routestats.Pace
 }
 
-// New returns a relay; Run makes it work.
+// New returns a relay; Run starts it.
 func New(config Config, deps Deps) (*Relay, error) {
 	relay := &Relay{tables: newTables(), changed: make(chan struct{})}
 	node := membership.Node{
 		Name: config.Name, Role: membership.RoleRelay, Zone: config.Zone,
 		Address: config.Address, Boot: config.Boot,
 	}
-	upper, err := follower.New(follower.Config{Node: node, Upstreams: config.Upstreams}, follower.Deps{
+	upstreamFollower, err := follower.New(follower.Config{Node: node, Upstreams: config.Upstreams}, follower.Deps{
 		Dial: deps.Dial, Sink: relay, Reporter: relay, Events: deps.Events,
 		Logger: deps.Logger, Registerer: deps.Registerer, Random: deps.Random,
 	})
 	if err != nil {
 		return nil, err
 	}
-	relay.follower = upper
+	relay.follower = upstreamFollower
 	relay.handler = follower.NewHandler(
-		follower.HandlerConfig{Name: config.Name, Lease: lease.DefaultDuration, OnProgress: upper.Poke},
+		follower.HandlerConfig{Name: config.Name, Lease: lease.DefaultDuration, OnProgress: upstreamFollower.Poke},
 		follower.HandlerDeps{
 			Plans: relay, Authority: relay, Tables: relay.tables, Events: deps.Events,
 			Logger: deps.Logger, Registerer: deps.Registerer,
@@ -92,14 +93,14 @@
 // Service returns the handler to mount.
 func (r *Relay) Service() martenstagev1connect.FollowServiceHandler { return r.handler }
 
-// Follower returns the calling end, for status pages.
+// Follower returns the client that follows the upstream, for status pages.
 func (r *Relay) Follower() *follower.Follower { return r.follower }
 
-// RevisionInForce returns the highest revision that all followers admit work
-// under at least.
-func (r *Relay) RevisionInForce() uint64 { return r.handler.RevisionInForce() }
+// ActiveRevision returns the active revision of the followers: each of them
+// admits work under this revision or a higher one.
+func (r *Relay) ActiveRevision() uint64 { return r.handler.RevisionInForce() }
 
-// Run follows and serves until the context ends.
+// Run follows the upstream and serves followers until the context ends.
 func (r *Relay) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return r.follower.Run(ctx) })
@@ -121,14 +122,13 @@
 	return r.revision, r.latest, r.changed
 }
 
-// Confirm allows grants for as long as the relay's own lease lasts. A child's
-// first call waits for a call to the upstream sent after it, so that a
-// restarted router starts with the latest revision also when this relay is
-// behind.
+// Confirm allows grants for the rest of the relay's own lease. The first call of
+// a child waits for a later call to the upstream, so that a restarted router
+// starts with the latest revision even when this relay lags behind.
 func (r *Relay) Confirm(ctx context.Context, first bool) (follower.Entitlement, error) {
 	if first {
 		if err := r.follower.Refresh(ctx); err != nil {
-			return follower.Entitlement{}, errors.Wrap(err, "ask the upstream for the latest revision")
+			return follower.Entitlement{}, errors.Wrap(err, "fetch the latest revision from the upstream")
 		}
 	}
 	r.mutex.Lock()
@@ -140,7 +140,7 @@
 	return follower.Entitlement{Term: r.term, Lease: remaining}, nil
 }
 
-// InstallPlan makes a revision the one that grants are for.
+// InstallPlan sets the revision that leases are granted for.
 func (r *Relay) InstallPlan(revision uint64, installed *plan.Plan) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -149,24 +149,24 @@
 	r.changed = make(chan struct{})
 }
 
-// ExtendLease notes until when the relay may grant.
+// ExtendLease sets the time until which the relay may grant leases.
 func (r *Relay) ExtendLease(term uint64, until time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.term, r.until = term, until
 }
 
-// MergeRouters takes over changes of the list of routers.
+// MergeRouters applies changes of the list of routers.
 func (r *Relay) MergeRouters(changes membership.Changes[membership.Node]) {
 	r.handler.UpdateTables(func(time.Time) { r.tables.routers.Merge(changes) })
 }
 
-// MergeMachines takes over changes of machine states.
+// MergeMachines applies changes of machine states.
 func (r *Relay) MergeMachines(changes membership.Changes[membership.Machine]) {
 	r.handler.UpdateTables(func(time.Time) { r.tables.machines.Merge(changes) })
 }
 
-// Versions returns the versions of the tables held.
+// Versions returns the current versions of the tables.
 func (r *Relay) Versions() (routers, machines uint64) {
 	r.handler.UpdateTables(func(time.Time) {
 		routers, machines = r.tables.routers.Version(), r.tables.machines.Version()
@@ -174,17 +174,17 @@
 	return routers, machines
 }
 
-// Prepare adds the summed-up reports to a call.
+// Prepare adds the aggregated reports to a call.
 func (r *Relay) Prepare(now time.Time, upstream follower.Upstream, request *v1.SyncRequest) {
 	if r.routes.Due(now, upstream.Address) {
 		request.Routes = r.handler.RouteReports()
 	}
 	request.SubtreeRevision = r.handler.RevisionInForce()
-	behind := request.GetSubtreeRevision() < request.GetRevision()
-	r.handler.UpdateTables(func(time.Time) { r.tables.report(now, upstream, behind, request) })
+	lagging := request.GetSubtreeRevision() < request.GetRevision()
+	r.handler.UpdateTables(func(time.Time) { r.tables.report(now, upstream, lagging, request) })
 }
 
-// Delivered notes that reports arrived.
+// Delivered records that the reports were delivered.
 func (r *Relay) Delivered(upstream follower.Upstream, _ *v1.SyncRequest) {
-	r.handler.UpdateTables(func(now time.Time) { r.tables.delivered(now, upstream) })
+	r.handler.UpdateTables(func(now time.Time) { r.tables.markDelivered(now, upstream) })
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -13,13 +13,13 @@
 	"github.com/martenstage/martenstage/internal/membership"
 )
 
-func TestChangeComesIntoForceThroughRelays(t *testing.T) {
+func TestChangeTakesEffectThroughRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		fleet := newFleet(t, ctx, "control-1")
 		fleet.startRelay(ctx, "relay-1", "control-1")
 		fleet.startRelay(ctx, "relay-2", "control-1")
-		routers := []*router{
+		routers := []*fakeRouter{
 			fleet.startRouter(ctx, "router-1", "relay-1", "relay-2"),
 			fleet.startRouter(ctx, "router-2", "relay-1", "relay-2"),
 			fleet.startRouter(ctx, "router-3", "relay-1", "relay-2"),
@@ -40,28 +40,28 @@
 	})
 }
 
-// A router that moved on takes its words back elsewhere, and one that was
-// restarted can take nothing back; this relay must not tell them again, to a new
-// leader for example.
-func TestObservationsEndWithTheRunThatMadeThem(t *testing.T) {
+// A router that switched to another server withdraws its observations there, and
+// a restarted router can't withdraw any. This relay must not report them again,
+// for example to a new leader.
+func TestObservationsEndWithRouterIncarnation(t *testing.T) {
 	now := time.Unix(1000, 0)
 	view := func(name string, boot uint64) membership.NodeView {
 		return membership.NodeView{Node: membership.Node{Name: name, Role: membership.RoleRouter, Boot: boot}, LastSeen: now}
 	}
-	for name, end := range map[string]func(known *tables){
-		"lapsed":    func(known *tables) { known.LapseChild(now, "router-2") },
-		"restarted": func(known *tables) { known.Report(membership.Direct, view("router-2", 2)) },
+	for name, end := range map[string]func(relayTables *tables){
+		"lapsed":    func(relayTables *tables) { relayTables.LapseChild(now, "router-2") },
+		"restarted": func(relayTables *tables) { relayTables.Report(membership.Direct, view("router-2", 2)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			known := newTables()
+			relayTables := newTables()
 			for _, router := range []string{"router-1", "router-2"} {
-				known.Report(membership.Direct, view(router, 1))
-				known.Observe(now, membership.Observation{Address: "10.0.0.1:7000", State: membership.Leaving, Router: router})
+				relayTables.Report(membership.Direct, view(router, 1))
+				relayTables.Observe(now, membership.Observation{Address: "10.0.0.1:7000", State: membership.Leaving, Router: router})
 			}
-			known.Report(membership.Direct, view("router-1", 1))
-			end(known)
+			relayTables.Report(membership.Direct, view("router-1", 1))
+			end(relayTables)
 			request := &v1.SyncRequest{}
-			known.report(now, follower.Upstream{Address: "control-1", Term: 2}, false, request)
+			relayTables.report(now, follower.Upstream{Address: "control-1", Term: 2}, false, request)
 			require.Len(t, request.GetObservations(), 1)
 			require.Equal(t, "router-1", request.GetObservations()[0].GetSource())
 		})
--- a/internal/relay/tables.go
+++ b/internal/relay/tables.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// reportAgain is how often a follower is reported that nothing changed of,
-	// so that a lost or reordered report does not last.
-	reportAgain = 30 * time.Second
-	// behindAfter is how long followers may be behind before the relay reports
-	// the revision of each.
-	behindAfter = 2 * time.Second
-	// maxWitnesses bounds whose observations of one back end are passed on;
-	// more of them would decide nothing.
-	maxWitnesses = 3
+	// reportInterval is how often an unchanged follower is reported again, which
+	// repairs the effect of a lost or reordered report.
+	reportInterval = 30 * time.Second
+	// lagReportDelay is how long followers may lag behind before the relay
+	// reports the revision of each.
+	lagReportDelay = 2 * time.Second
+	// maxObservers bounds the routers whose observations of one back end are
+	// forwarded; more of them would not affect the decision.
+	maxObservers = 3
 )
 
-// tables are what a relay knows: merged from above what it spreads, and from
-// below what it reports. The Handler's lock guards them.
+// tables holds the state that a relay distributes, which it merges from its
+// upstream, and the state that it reports upstream, which it collects from its
+// followers. It is guarded by the Handler's lock.
 type tables struct {
 	routers  *membership.Table[membership.Node]
 	machines *membership.Table[membership.Machine]
-	// children are the nodes reported from below, by name.
+	// children are the nodes of the subtree by name.
 	children map[string]*child
 	// observations by back end and router.
 	observations map[observationKey]*observation
-	behindSince  time.Time
-	// sequence numbers changes, so that one that happens while a report is
-	// under way is reported again.
+	laggingSince time.Time
+	// sequence numbers changes, so that a change during a report in flight is
+	// reported again.
 	sequence uint64
 	inFlight uint64
 }
@@ -42,19 +43,19 @@
 	view   membership.NodeView
 	source string
 	lapsed bool
-	// sequence of the last change that must be reported.
+	// sequence is the number of the last change that must be reported.
 	sequence uint64
 	delivery delivery
-	// revision that was last reported.
-	revision uint64
+	// reportedRevision is the revision that was last reported.
+	reportedRevision uint64
 }
 
-// delivery says to whom and when something was last reported.
+// delivery records the upstream and the time of the last report of an item.
 type delivery struct {
-	to       follower.Upstream
+	upstream follower.Upstream
 	at       time.Time
 	sequence uint64
-	// pending marks what the call under way reports.
+	// pending marks items reported by the call in flight.
 	pending bool
 }
 
@@ -77,50 +78,50 @@
 }
 
 // StartTerm does nothing: children keep their leases from this relay across
-// leaders, and everything is reported again because the upstream's term is
-// another.
+// leaders, and everything is reported again because the upstream's term has
+// changed.
 func (t *tables) StartTerm(time.Time, uint64) {}
 
-// Report notes a node below.
+// Report records a live node of the subtree.
 func (t *tables) Report(source string, view membership.NodeView) {
-	known, found := t.children[view.Name]
+	existing, found := t.children[view.Name]
 	if !found {
-		known = &child{}
-		t.children[view.Name] = known
+		existing = &child{}
+		t.children[view.Name] = existing
 	}
-	if found && known.view.Boot < view.Boot {
-		t.forgetObservations(view.Name)
+	if found && existing.view.Boot < view.Boot {
+		t.removeObservations(view.Name)
 	}
-	if !found || known.lapsed || known.view.Node != view.Node {
+	if !found || existing.lapsed || existing.view.Node != view.Node {
 		t.sequence++
-		known.sequence = t.sequence
+		existing.sequence = t.sequence
 	}
-	known.view, known.source, known.lapsed = view, source, false
+	existing.view, existing.source, existing.lapsed = view, source, false
 }
 
-// Lapse notes that a source no longer vouches for a node.
+// Lapse records that a source no longer reports a node as live.
 func (t *tables) Lapse(_ time.Time, source, name string) {
-	known, found := t.children[name]
-	if !found || known.lapsed || known.source != source {
+	existing, found := t.children[name]
+	if !found || existing.lapsed || existing.source != source {
 		return
 	}
 	t.sequence++
-	known.sequence = t.sequence
-	known.lapsed = true
+	existing.sequence = t.sequence
+	existing.lapsed = true
 }
 
-// LapseChild notes that a direct child is gone. What it observed is no longer
-// passed on: a router that follows another server now tells that one, and takes
-// its words back there.
-func (t *tables) LapseChild(now time.Time, gone string) {
-	t.Lapse(now, membership.Direct, gone)
+// LapseChild records the loss of a direct child. Its observations are no longer
+// forwarded: a router that now follows another server reports and withdraws
+// them there.
+func (t *tables) LapseChild(now time.Time, child string) {
+	t.Lapse(now, membership.Direct, child)
 	for name := range t.children {
-		t.Lapse(now, gone, name)
+		t.Lapse(now, child, name)
 	}
-	t.forgetObservations(gone)
+	t.removeObservations(child)
 }
 
-func (t *tables) forgetObservations(router string) {
+func (t *tables) removeObservations(router string) {
 	for key := range t.observations {
 		if key.router == router {
 			delete(t.observations, key)
@@ -128,24 +129,24 @@
 	}
 }
 
-// Observe keeps an observation to pass it on.
-func (t *tables) Observe(now time.Time, seen membership.Observation) {
-	key := observationKey{address: seen.Address, router: seen.Router}
-	known, found := t.observations[key]
+// Observe stores an observation to forward it.
+func (t *tables) Observe(now time.Time, received membership.Observation) {
+	key := observationKey{address: received.Address, router: received.Router}
+	existing, found := t.observations[key]
 	if !found {
-		if seen.State == membership.Live || t.witnesses(seen.Address) >= maxWitnesses {
+		if received.State == membership.Live || t.observers(received.Address) >= maxObservers {
 			return
 		}
-		known = &observation{}
-		t.observations[key] = known
+		existing = &observation{}
+		t.observations[key] = existing
 	}
 	t.sequence++
-	known.sequence = t.sequence
-	known.state = seen.State
-	known.until = now.Add(membership.ObservationLifetime)
+	existing.sequence = t.sequence
+	existing.state = received.State
+	existing.until = now.Add(membership.ObservationLifetime)
 }
 
-func (t *tables) witnesses(address string) int {
+func (t *tables) observers(address string) int {
 	count := 0
 	for key := range t.observations {
 		if key.address == address {
@@ -157,14 +158,14 @@
 
 // Expire drops observations that were not repeated.
 func (t *tables) Expire(now time.Time) {
-	for key, known := range t.observations {
-		if !now.Before(known.until) {
+	for key, entry := range t.observations {
+		if !now.Before(entry.until) {
 			delete(t.observations, key)
 		}
 	}
 }
 
-// Routers returns the routers as heard from above; nil before.
+// Routers returns the routers as received from the upstream; nil before that.
 func (t *tables) Routers(time.Time) *membership.Table[membership.Node] {
 	if t.routers.Version() == 0 {
 		return nil
@@ -172,7 +173,8 @@
 	return t.routers
 }
 
-// Machines returns the states of machines as heard from above; nil before.
+// Machines returns the machine states as received from the upstream; nil before
+// that.
 func (t *tables) Machines(time.Time) *membership.Table[membership.Machine] {
 	if t.machines.Version() == 0 {
 		return nil
@@ -180,29 +182,29 @@
 	return t.machines
 }
 
-// report adds to a call what its receiver does not know yet.
-func (t *tables) report(now time.Time, upstream follower.Upstream, behind bool, request *v1.SyncRequest) {
+// report adds to a call everything that the upstream has not received yet.
+func (t *tables) report(now time.Time, upstream follower.Upstream, lagging bool, request *v1.SyncRequest) {
 	t.inFlight = t.sequence
-	for _, known := range t.children {
-		due := known.delivery.due(now, upstream, known.sequence) ||
-			t.behindLong(now, behind) && known.view.Revision != known.revision
-		known.delivery.pending = due
+	for _, entry := range t.children {
+		due := entry.delivery.due(now, upstream, entry.sequence) ||
+			t.laggingLong(now, lagging) && entry.view.Revision != entry.reportedRevision
+		entry.delivery.pending = due
 		if !due {
 			continue
 		}
-		known.revision = known.view.Revision
-		view := known.view
-		view.Lapsed = known.lapsed
+		entry.reportedRevision = entry.view.Revision
+		view := entry.view
+		view.Lapsed = entry.lapsed
 		request.Followers = append(request.Followers, follower.StatusToWire(now, view))
 	}
 	slices.SortFunc(request.Followers, func(left, right *v1.NodeStatus) int {
 		return cmp.Compare(left.GetNode(), right.GetNode())
 	})
-	for key, known := range t.observations {
-		known.delivery.pending = known.delivery.due(now, upstream, known.sequence)
-		if known.delivery.pending {
+	for key, entry := range t.observations {
+		entry.delivery.pending = entry.delivery.due(now, upstream, entry.sequence)
+		if entry.delivery.pending {
 			request.Observations = append(request.Observations, &v1.MachineState{
-				Address: key.address, State: known.state.String(), Source: key.router,
+				Address: key.address, State: entry.state.String(), Source: key.router,
 			})
 		}
 	}
@@ -211,41 +213,43 @@
 	})
 }
 
-// behindLong reports whether followers have been behind for a while.
-func (t *tables) behindLong(now time.Time, behind bool) bool {
-	if !behind {
-		t.behindSince = time.Time{}
+// laggingLong reports whether followers have lagged for more than
+// lagReportDelay.
+func (t *tables) laggingLong(now time.Time, lagging bool) bool {
+	if !lagging {
+		t.laggingSince = time.Time{}
 		return false
 	}
-	if t.behindSince.IsZero() {
-		t.behindSince = now
+	if t.laggingSince.IsZero() {
+		t.laggingSince = now
 	}
-	return now.Sub(t.behindSince) > behindAfter
+	return now.Sub(t.laggingSince) > lagReportDelay
 }
 
-// delivered notes that what report added has arrived.
-func (t *tables) delivered(now time.Time, upstream follower.Upstream) {
-	for name, known := range t.children {
-		known.delivery.arrived(now, upstream, t.inFlight)
-		if known.lapsed && known.delivery.sequence >= known.sequence {
+// markDelivered records that the items added by report were delivered.
+func (t *tables) markDelivered(now time.Time, upstream follower.Upstream) {
+	for name, entry := range t.children {
+		entry.delivery.confirm(now, upstream, t.inFlight)
+		if entry.lapsed && entry.delivery.sequence >= entry.sequence {
 			delete(t.children, name)
 		}
 	}
-	for key, known := range t.observations {
-		known.delivery.arrived(now, upstream, t.inFlight)
-		if known.state == membership.Live && known.delivery.sequence >= known.sequence {
+	for key, entry := range t.observations {
+		entry.delivery.confirm(now, upstream, t.inFlight)
+		if entry.state == membership.Live && entry.delivery.sequence >= entry.sequence {
 			delete(t.observations, key)
 		}
 	}
 }
 
-// due reports whether something must be reported to an upstream.
+// due reports whether an item must be reported to an upstream.
 func (d delivery) due(now time.Time, upstream follower.Upstream, sequence uint64) bool {
-	return d.sequence < sequence || d.to != upstream || now.Sub(d.at) >= reportAgain
+	return d.sequence < sequence || d.upstream != upstream || now.Sub(d.at) >= reportInterval
 }
 
-func (d *delivery) arrived(now time.Time, upstream follower.Upstream, sequence uint64) {
+// confirm records that a pending item was delivered to an upstream.
+func (d *delivery) confirm(now time.Time, upstream follower.Upstream, sequence uint64) {
 	if d.pending {
-		*d = delivery{to: upstream, at: now, sequence: sequence}
+		*d = delivery{upstream: upstream, at: now, sequence: sequence}
 	}
 }
