--- a/internal/forward/cost_test.go
+++ b/internal/forward/cost_test.go
@@ -32,31 +32,32 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// The owning region runs in a child process, this test binary with costRegion
-// set, so that the benchmarks measure the near side alone.
+// The owning region runs in a child process, this test binary with
+// benchmarkRegionEnv set, so that the benchmarks measure only the calling region.
 const (
-	costRegion  = "MARTENSTAGE_COST_REGION"
-	costCallers = 32
-	costBody    = `{"q":"desk","near":[13.7563,100.5018],"limit":10}`
+	benchmarkRegionEnv = "MARTENSTAGE_COST_REGION"
+	benchmarkCallers   = 32
+	benchmarkBody      = `{"q":"desk","near":[13.7563,100.5018],"limit":10}`
 )
 
-// costServices are the services by their number of shards.
-var costServices = map[string]int{"one": 1, "sixteen": 16}
+// benchmarkServices maps each service to its number of shards.
+var benchmarkServices = map[string]int{"one": 1, "sixteen": 16}
 
 func TestMain(m *testing.M) {
-	if os.Getenv(costRegion) != "" {
-		serveCostRegion()
+	if os.Getenv(benchmarkRegionEnv) != "" {
+		serveBenchmarkRegion()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// costPlan has the services with a route each, whose name has the prefix.
-func costPlan(prefix string) *plan.Plan {
+// benchmarkPlan returns a plan of the services with one route each, whose name
+// starts with the prefix.
+func benchmarkPlan(prefix string) *plan.Plan {
 	built := &plan.Plan{}
 	for _, name := range []string{"one", "sixteen"} {
 		generation := plan.Generation{Number: 1}
-		for shard := range costServices[name] {
+		for shard := range benchmarkServices[name] {
 			replica := plan.Replica{Address: netip.MustParseAddrPort("127.0.0.1:0"), Zone: "a", Slots: 256, Connections: 256}
 			generation.Shards = append(generation.Shards,
 				plan.Shard{ID: uint32(shard), Name: fmt.Sprint("g", shard), Replicas: []plan.Replica{replica}})
@@ -69,16 +70,17 @@
 	return built
 }
 
-// serveCostRegion runs back ends and a router, prints the router's address for
-// peers and those of the back ends, and ends with its standard input.
-func serveCostRegion() {
+// serveBenchmarkRegion runs back ends and a router, prints the router's address
+// for peers and those of the back ends, and returns when its standard input is
+// closed.
+func serveBenchmarkRegion() {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	whole := costPlan("far-")
-	fleet := lo.Must(emulator.New(emulator.Config{Plans: []*plan.Plan{whole}, QueuePerSlot: 64, FirstVersion: 1, MaxBody: 1 << 20},
+	planned := benchmarkPlan("far-")
+	fleet := lo.Must(emulator.New(emulator.Config{Plans: []*plan.Plan{planned}, QueuePerSlot: 64, FirstVersion: 1, MaxBody: 1 << 20},
 		emulator.Dependencies{Recorder: &emulator.MemoryRecorder{}, Logger: logger}))
 	lo.Must0(fleet.Start())
-	bound := fleet.BoundPlan(whole)
+	bound := fleet.BoundPlan(planned)
 	served := makeRouter("north", &fixedSource{plan: bound}, logger, func(*router.Config, *router.Dependencies) {})
 	go func() { _ = served.Run(context.Background()) }()
 	mux := http.NewServeMux()
@@ -94,12 +96,12 @@
 	_, _ = io.Copy(io.Discard, os.Stdin)
 }
 
-// startCostRegion starts the child. It returns a plan whose own routes ask the
-// child's back ends, and whose remote routes ask its router.
-func startCostRegion(b *testing.B) *plan.Plan {
+// startBenchmarkRegion starts the child process. It returns a plan whose own
+// routes call the child's back ends, and whose remote routes call its router.
+func startBenchmarkRegion(b *testing.B) *plan.Plan {
 	b.Helper()
 	command := exec.Command(os.Args[0])
-	command.Env = append(os.Environ(), costRegion+"=1")
+	command.Env = append(os.Environ(), benchmarkRegionEnv+"=1")
 	input, err := command.StdinPipe()
 	require.NoError(b, err)
 	output, err := command.StdoutPipe()
@@ -115,7 +117,7 @@
 		return netip.MustParseAddrPort(strings.TrimSpace(lines.Text()))
 	}
 	entry := next()
-	built := costPlan("")
+	built := benchmarkPlan("")
 	for _, service := range built.Services {
 		for _, shard := range service.Generations[0].Shards {
 			shard.Replicas[0].Address = next()
@@ -128,18 +130,18 @@
 	return built
 }
 
-// BenchmarkRoute compares what a request costs the router that a caller asks, by
-// whether the route is its own region's or another's.
+// BenchmarkRoute compares the cost of a request at the router that receives it
+// between routes of its own region and routes of another region.
 func BenchmarkRoute(b *testing.B) {
-	near := newCostRouter(b, startCostRegion(b), remote.Config{})
+	near := newBenchmarkRouter(b, startBenchmarkRegion(b), remote.Config{})
 	for _, route := range []string{"one", "far-one", "sixteen", "far-sixteen"} {
 		b.Run(route, func(b *testing.B) {
 			ask := func(number int64) query.Answer {
 				return near.Query(context.Background(), router.Request{
-					CallerID: strconv.FormatInt(number, 10), Route: route, Body: []byte(costBody)})
+					CallerID: strconv.FormatInt(number, 10), Route: route, Body: []byte(benchmarkBody)})
 			}
 			require.Eventually(b, func() bool { return ask(0).Complete }, longWait, 10*time.Millisecond)
-			for number := range int64(costCallers * 4) {
+			for number := range int64(benchmarkCallers * 4) {
 				ask(-1 - number) // opens the connections
 			}
 			measureRequests(b, func(number int64) {
@@ -151,7 +153,7 @@
 	}
 }
 
-func newCostRouter(b *testing.B, installed *plan.Plan, bounds remote.Config) *router.Router {
+func newBenchmarkRouter(b *testing.B, installed *plan.Plan, bounds remote.Config) *router.Router {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	created := makeRouter("near", &fixedSource{plan: installed}, logger, func(config *router.Config, dependencies *router.Dependencies) {
@@ -167,18 +169,18 @@
 	return created
 }
 
-// measureRequests sends requests from many callers and reports processor time,
-// allocations and bytes of this process per request.
+// measureRequests sends requests from many callers and reports the CPU time,
+// allocations and allocated bytes of this process per request.
 func measureRequests(b *testing.B, request func(number int64)) {
 	b.Helper()
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	processorBefore := processorTime(b)
+	processorBefore := cpuTime(b)
 	b.ResetTimer()
 	var next atomic.Int64
 	var callers sync.WaitGroup
-	for range costCallers {
+	for range benchmarkCallers {
 		callers.Go(func() {
 			for number := next.Add(1); number <= int64(b.N); number = next.Add(1) {
 				request(number)
@@ -187,7 +189,7 @@
 	}
 	callers.Wait()
 	b.StopTimer()
-	spent := processorTime(b) - processorBefore
+	spent := cpuTime(b) - processorBefore
 	runtime.ReadMemStats(&after)
 	b.ReportMetric(float64(spent.Nanoseconds())/float64(b.N), "cpu-ns/request")
 	b.ReportMetric(float64(after.Mallocs-before.Mallocs)/float64(b.N), "allocs/request")
@@ -196,32 +198,34 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-func processorTime(b *testing.B) time.Duration {
+func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &usage))
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkGoneRegion sends requests to a region that is gone, with and without
-// the judgement of package remote. Requests have half a second. Waited are those
-// that were sent before the region counted as gone.
-func BenchmarkGoneRegion(b *testing.B) {
+// BenchmarkUnreachableRegion sends requests to an unreachable region, with and
+// without the failure detection of package remote. Requests have a deadline of
+// half a second. The metric waited counts the requests sent before the region
+// was considered unreachable.
+func BenchmarkUnreachableRegion(b *testing.B) {
 	for _, judged := range []bool{true, false} {
 		name := lo.Ternary(judged, "judged", "baseline")
 		b.Run("refuses/"+name, func(b *testing.B) {
-			benchmarkGone(b, remote.Config{NeverFail: !judged}, netip.MustParseAddrPort(nobody))
+			benchmarkUnreachable(b, remote.Config{NeverFail: !judged}, netip.MustParseAddrPort(closedAddress))
 		})
 		b.Run("silent/"+name, func(b *testing.B) {
-			way := testlink.New(b, nobodyListening(b))
-			way.Silence(true)
-			benchmarkGone(b, remote.Config{NeverFail: !judged}, way.Address())
+			link := testlink.New(b, startNotFoundServer(b))
+			link.Silence(true)
+			benchmarkUnreachable(b, remote.Config{NeverFail: !judged}, link.Address())
 		})
 	}
 }
 
-// nobodyListening returns an address that takes connections and never answers.
-func nobodyListening(b *testing.B) string {
+// startNotFoundServer returns the address of a server that answers every request
+// with 404.
+func startNotFoundServer(b *testing.B) string {
 	server, err := rpc.NewServer("127.0.0.1:0", http.NotFoundHandler(), rpc.Plaintext(), logrus.New())
 	require.NoError(b, err)
 	go func() { _ = server.Serve() }()
@@ -229,13 +233,13 @@
 	return server.Address()
 }
 
-func benchmarkGone(b *testing.B, bounds remote.Config, entry netip.AddrPort) {
-	near := newCostRouter(b, remotePlan(entry), bounds)
+func benchmarkUnreachable(b *testing.B, bounds remote.Config, entry netip.AddrPort) {
+	near := newBenchmarkRouter(b, remotePlan(entry), bounds)
 	require.Eventually(b, func() bool { return len(near.RemoteRoutes()) > 0 }, longWait, time.Millisecond)
 	var waited, notRun atomic.Int64
 	ask := func(number int64) query.Answer {
 		answer := near.Query(context.Background(), router.Request{CallerID: strconv.FormatInt(number, 10), Route: "send",
-			Body: []byte(costBody), Deadline: time.Now().Add(500 * time.Millisecond)})
+			Body: []byte(benchmarkBody), Deadline: time.Now().Add(500 * time.Millisecond)})
 		if answer.Verdict == verdict.NotRun {
 			notRun.Add(1)
 		}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -17,7 +17,7 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// Client hands requests to other routers. It implements router.Forwarder and
+// Client forwards requests to other routers. It implements router.Forwarder and
 // router.RegionCaller.
 type Client struct {
 	name   string
@@ -27,7 +27,7 @@
 	peers map[string]martenstagev1connect.ForwardServiceClient
 }
 
-// NewClient returns a client that names itself to its peers.
+// NewClient returns a client that identifies itself to its peers by name.
 func NewClient(name string, security *rpc.Security) *Client {
 	return &Client{
 		name:   name,
@@ -41,7 +41,7 @@
 	message := requestToWire(c.name, request, steadyclock.Now())
 	response, err := c.peer(peer.Address.String()).Query(ctx, connect.NewRequest(message))
 	if err != nil {
-		return failed(ctx, peer, err)
+		return connectionFailure(ctx, peer, err)
 	}
 	return answerFromWire(response.Msg)
 }
@@ -49,17 +49,17 @@
 func (c *Client) peer(address string) martenstagev1connect.ForwardServiceClient {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known, ok := c.peers[address]
+	existing, ok := c.peers[address]
 	if !ok {
-		known = martenstagev1connect.NewForwardServiceClient(watchedHTTP{c.client.HTTP()}, c.client.URL(address), rpc.ClientOptions())
-		c.peers[address] = known
+		existing = martenstagev1connect.NewForwardServiceClient(trackingHTTPClient{c.client.HTTP()}, c.client.URL(address), rpc.ClientOptions())
+		c.peers[address] = existing
 	}
-	return known
+	return existing
 }
 
-// failed is the answer when the peer gave none. Only a connection that could
-// not be opened proves that the peer ran nothing.
-func failed(ctx context.Context, peer router.Peer, err error) query.Answer {
+// connectionFailure returns the answer for a call that the peer did not answer.
+// Only a failure to connect proves that the peer did not run the request.
+func connectionFailure(ctx context.Context, peer router.Peer, err error) query.Answer {
 	failure := &verdict.Error{Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnection,
 		Detail: "router " + peer.Name + " did not answer"}
 	var operation *net.OpError
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// fixedSource hands a router a plan, a long lease and its peers.
+// fixedSource gives a router a plan, a long lease and its peers.
 type fixedSource struct {
 	plan  *plan.Plan
 	peers []router.Peer
@@ -73,20 +73,20 @@
 	listener *rpc.Server
 }
 
-// newFleet starts three routers of which only one is of the service's cell.
-// It returns the one that is and those that are not.
+// newFleet starts three routers, of which only one is in the service's cell. It
+// returns the member of the cell and the others.
 func newFleet(t *testing.T) (member node, others []node, record *emulator.MemoryRecorder) {
 	t.Helper()
 	started := startFleet(t)
 	return started.member, started.others, started.record
 }
 
-// routerFleet is what newFleet starts.
+// routerFleet holds the routers and back ends started by startFleet.
 type routerFleet struct {
 	member node
 	others []node
 	record *emulator.MemoryRecorder
-	// closeBackends ends the back ends, which completes their record. It may be
+	// closeBackends stops the back ends, which completes their record. It may be
 	// called twice.
 	closeBackends func()
 }
@@ -139,7 +139,8 @@
 	return newRouterWith(t, name, source, logger, func(*router.Config, *router.Dependencies) {})
 }
 
-// newRouterWith lets the caller change what the router is made with.
+// newRouterWith starts a router whose configuration and dependencies the caller
+// may change.
 func newRouterWith(t *testing.T, name string, source router.ConfigSource, logger *logrus.Logger,
 	change func(*router.Config, *router.Dependencies)) *router.Router {
 	t.Helper()
@@ -172,7 +173,7 @@
 	return router.New(config, dependencies)
 }
 
-func TestRequestIsHandedToTheCellOfItsService(t *testing.T) {
+func TestRequestIsForwardedToTheCellOfItsService(t *testing.T) {
 	member, others, _ := newFleet(t)
 	ask := func(asked node, id string) query.Answer {
 		return asked.Query(t.Context(), router.Request{CallerID: id, Route: "find", Body: []byte(`{}`)})
@@ -195,7 +196,7 @@
 	}
 }
 
-func TestHandedOverRequestRunsAtMostOnce(t *testing.T) {
+func TestForwardedRequestRunsAtMostOnce(t *testing.T) {
 	member, others, record := newFleet(t)
 	ask := func(asked node, id string) query.Answer {
 		return asked.Query(t.Context(), router.Request{CallerID: id, Route: "send", Body: []byte(`{}`)})
--- a/internal/forward/keys_test.go
+++ b/internal/forward/keys_test.go
@@ -22,22 +22,22 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// answering is a router that answers every request of another region.
-type answering struct{ asked atomic.Int64 }
+// answeringRouter answers every request of another region.
+type answeringRouter struct{ requests atomic.Int64 }
 
-func (a *answering) QueryLocal(context.Context, router.Request) query.Answer {
+func (a *answeringRouter) QueryLocal(context.Context, router.Request) query.Answer {
 	panic("a crossed request is not taken for one of the own region")
 }
 
-func (a *answering) QueryCrossed(context.Context, router.Request) query.Answer {
-	a.asked.Add(1)
+func (a *answeringRouter) QueryCrossed(context.Context, router.Request) query.Answer {
+	a.requests.Add(1)
 	return query.Answer{Verdict: verdict.Ran}
 }
 
-func (a *answering) Ready() (bool, verdict.Reason) { return true, "" }
+func (a *answeringRouter) Ready() (bool, verdict.Reason) { return true, "" }
 
-// regionKeys issues keys of a router under an authority of its own. The
-// authorities in trusted are accepted besides.
+// regionKeys issues the keys of a router under its region's authority. The
+// authorities in trusted are accepted as well.
 func regionKeys(t *testing.T, folder string, trusted ...string) *rpc.Security {
 	t.Helper()
 	require.NoError(t, keys.Issue(folder, keys.Request{
@@ -61,13 +61,14 @@
 	return security
 }
 
-// Regions with an authority each reach one another if both accept both. If the
-// near side does not, the handshake fails, which proves that nothing ran.
+// Regions with separate authorities can call each other if both accept both
+// authorities. If the calling region does not, the handshake fails, which proves
+// that the request did not run.
 func TestRegionsOfTwoAuthorities(t *testing.T) {
 	north, south := t.TempDir(), t.TempDir()
 	require.NoError(t, keys.Init(north, time.Now()))
 	require.NoError(t, keys.Init(south, time.Now()))
-	security, local := regionKeys(t, north, south), &answering{}
+	security, local := regionKeys(t, north, south), &answeringRouter{}
 	mux := http.NewServeMux()
 	mux.Handle(NewHandler(local, security))
 	server, err := rpc.NewServer("127.0.0.1:0", mux, security, logrus.New())
@@ -80,11 +81,11 @@
 		defer cancel()
 		return NewClient("near", security).Cross(ctx, entry, router.Request{CallerID: "x", Route: "find"})
 	}
-	strange := cross(regionKeys(t, south))
-	require.Equal(t, verdict.NotRun, strange.Answer.Verdict)
-	require.Contains(t, []remote.Outcome{remote.NotConnected, remote.SlowConnect}, strange.Outcome)
-	require.Zero(t, local.asked.Load())
-	known := cross(regionKeys(t, south, north))
-	require.Nil(t, known.Answer.Err)
-	require.EqualValues(t, 1, local.asked.Load())
+	untrusted := cross(regionKeys(t, south))
+	require.Equal(t, verdict.NotRun, untrusted.Answer.Verdict)
+	require.Contains(t, []remote.Outcome{remote.NotConnected, remote.SlowConnect}, untrusted.Outcome)
+	require.Zero(t, local.requests.Load())
+	trusted := cross(regionKeys(t, south, north))
+	require.Nil(t, trusted.Answer.Err)
+	require.EqualValues(t, 1, local.requests.Load())
 }
--- a/internal/forward/region.go
+++ b/internal/forward/region.go
@@ -20,22 +20,23 @@
 )
 
 const (
-	// longestConnect bounds the wait for a connection to an entry router.
-	longestConnect = 500 * time.Millisecond
-	// connectShare is the part of the time left that a connection may take, so
-	// that another entry router can be asked after one that takes none.
-	connectShare = 4
+	// maxConnectTimeout bounds the wait for a connection to an entry router.
+	maxConnectTimeout = 500 * time.Millisecond
+	// connectTimeoutDivisor limits the connect timeout to a fraction of the time
+	// left, so that another entry router can be called after one that accepts no
+	// connections.
+	connectTimeoutDivisor = 4
 )
 
 // Cross implements router.RegionCaller. The context's deadline bounds the call.
 func (c *Client) Cross(ctx context.Context, entry netip.AddrPort, request router.Request) router.Crossing {
 	message := requestToWire(c.name, request, steadyclock.Now())
 	message.Crossed, message.IdGenerated = true, request.IDGenerated
-	asked, cancel, connected := watched(ctx)
+	tracedCtx, cancel, connTrace := traceConnection(ctx)
 	defer cancel()
-	response, err := c.peer(entry.String()).Query(asked, connect.NewRequest(message))
+	response, err := c.peer(entry.String()).Query(tracedCtx, connect.NewRequest(message))
 	if err != nil {
-		return uncrossed(ctx, entry, connected, err)
+		return failedCrossing(ctx, entry, connTrace, err)
 	}
 	answer := answerFromWire(response.Msg)
 	crossing := router.Crossing{Answer: answer, Outcome: remote.Answered}
@@ -52,81 +53,82 @@
 	return err
 }
 
-// uncrossed describes a call without an answer. That the request was not run is
-// proved only by its never having had a connection.
-func uncrossed(ctx context.Context, entry netip.AddrPort, connected *connection, err error) router.Crossing {
+// failedCrossing returns the result of a call without an answer. Only a request
+// that never had a connection is known not to have run.
+func failedCrossing(ctx context.Context, entry netip.AddrPort, connTrace *connectionTrace, err error) router.Crossing {
 	failure := &verdict.Error{Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnection,
 		Detail: "entry router " + entry.String() + " did not answer"}
 	outcome := remote.Broken
-	if !connected.made() {
+	if !connTrace.maybeSent() {
 		failure.Verdict, outcome = verdict.NotRun, remote.NotConnected
 		failure.Detail = "no connection to entry router " + entry.String()
-		if connected.gaveUp.Load() {
+		if connTrace.connectTimedOut.Load() {
 			outcome = remote.SlowConnect
 		}
 	}
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		failure.Reason, outcome = verdict.ReasonCanceled, remote.Abandoned
-	case connected.made() && connect.IsWireError(err) && connect.CodeOf(err) == connect.CodeDeadlineExceeded:
-		// The entry router itself says that the time is over.
+	case connTrace.maybeSent() && connect.IsWireError(err) && connect.CodeOf(err) == connect.CodeDeadlineExceeded:
+		// The entry router itself reports that the deadline has passed.
 		failure.Reason, outcome = verdict.ReasonTimeout, remote.Answered
-	case connected.made() && errors.Is(ctx.Err(), context.DeadlineExceeded):
+	case connTrace.maybeSent() && errors.Is(ctx.Err(), context.DeadlineExceeded):
 		failure.Reason, outcome = verdict.ReasonTimeout, remote.Silent
 	}
 	return router.Crossing{Answer: query.Answer{Verdict: failure.Verdict, Err: failure}, Outcome: outcome}
 }
 
-// connection records whether a request was ever given a connection, on which it
+// connectionTrace records whether a request ever had a connection, on which it
 // may have been sent.
-type connection struct {
-	got atomic.Bool
-	// failed is set when the HTTP client ended without an answer.
-	failed atomic.Bool
-	// gaveUp is set when no connection came in the time for one.
-	gaveUp atomic.Bool
+type connectionTrace struct {
+	connected atomic.Bool
+	// clientFailed is set when the HTTP client returned without a response.
+	clientFailed atomic.Bool
+	// connectTimedOut is set when no connection was made within the timeout.
+	connectTimedOut atomic.Bool
 }
 
-// made reports whether the request may have been sent. Only the end of the HTTP
-// client's work proves that it was not, since until then a connection may come.
-func (c *connection) made() bool { return c.got.Load() || !c.failed.Load() }
+// maybeSent reports whether the request may have been sent. Until the HTTP
+// client has returned, this can't be ruled out, since a connection may still be
+// made.
+func (c *connectionTrace) maybeSent() bool { return c.connected.Load() || !c.clientFailed.Load() }
 
 type connectionKey struct{}
 
-// watched returns a context that ends when no connection is made in a part of
-// the time left, and a record of the connection.
-func watched(ctx context.Context) (context.Context, context.CancelFunc, *connection) {
+// traceConnection returns a context that is canceled when no connection is made
+// within the connect timeout, and the trace of the connection.
+func traceConnection(ctx context.Context) (context.Context, context.CancelFunc, *connectionTrace) {
 	bounded, cancel := context.WithCancel(ctx)
-	record := &connection{}
-	limit := longestConnect
+	trace := &connectionTrace{}
+	limit := maxConnectTimeout
 	if deadline, ok := ctx.Deadline(); ok {
-		limit = min(limit, steadyclock.Until(deadline)/connectShare)
+		limit = min(limit, steadyclock.Until(deadline)/connectTimeoutDivisor)
 	}
-	giveUp := time.AfterFunc(limit, func() {
-		if !record.got.Load() {
-			record.gaveUp.Store(true)
+	connectTimer := time.AfterFunc(limit, func() {
+		if !trace.connected.Load() {
+			trace.connectTimedOut.Store(true)
 			cancel()
 		}
 	})
-	traced := httptrace.WithClientTrace(context.WithValue(bounded, connectionKey{}, record), &httptrace.ClientTrace{
-		// It is called before anything of the request is written.
+	traced := httptrace.WithClientTrace(context.WithValue(bounded, connectionKey{}, trace), &httptrace.ClientTrace{
+		// GotConn is called before any part of the request is written.
 		GotConn: func(httptrace.GotConnInfo) {
-			record.got.Store(true)
-			giveUp.Stop()
+			trace.connected.Store(true)
+			connectTimer.Stop()
 		},
 	})
-	return traced, func() { giveUp.Stop(); cancel() }, record
+	return traced, func() { connectTimer.Stop(); cancel() }, trace
 }
 
-// watchedHTTP notes in the request's record, if it has one, that the client
-// ended without an answer.
-type watchedHTTP struct{ inner connect.HTTPClient }
+// trackingHTTPClient records in the request's trace, if it has one, that the
+// client returned without a response.
+type trackingHTTPClient struct{ inner connect.HTTPClient }
 
 // Do implements connect.HTTPClient.
-func (w watchedHTTP) Do(request *http.Request) (*http.Response, error) {
+func (w trackingHTTPClient) Do(request *http.Request) (*http.Response, error) {
 	response, err := w.inner.Do(request)
-	if record, found := request.Context().Value(connectionKey{}).(*connection); found && err != nil {
-		record.failed.Store(true)
+	if trace, found := request.Context().Value(connectionKey{}).(*connectionTrace); found && err != nil {
+		trace.clientFailed.Store(true)
 	}
 	return response, err
 }
--- a/internal/forward/region_test.go
+++ b/internal/forward/region_test.go
@@ -30,12 +30,12 @@
 
 const (
 	longWait = 20 * time.Second
-	// nobody is an address of this machine at which nothing listens: port 1 is
-	// outside the range that connections are given.
-	nobody = "127.0.0.1:1"
+	// closedAddress is a local address without a listener: port 1 is outside the
+	// ephemeral port range.
+	closedAddress = "127.0.0.1:1"
 )
 
-// countingCaller counts the requests that leave for other regions.
+// countingCaller counts the requests sent to other regions.
 type countingCaller struct {
 	router.RegionCaller
 	crossings atomic.Int64
@@ -46,35 +46,37 @@
 	return c.RegionCaller.Cross(ctx, entry, request)
 }
 
-// eventMemory is an EventSink that keeps kinds in their order.
-type eventMemory struct {
+// recordedEvents is an EventSink that stores region event kinds in order.
+type recordedEvents struct {
 	mutex sync.Mutex
 	kinds []journal.Kind
 }
 
-func (m *eventMemory) Record(event journal.Event) {
+func (m *recordedEvents) Record(event journal.Event) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if event.Kind == journal.KindRegionUnreachable || event.Kind == journal.KindRegionReachable {
 		m.kinds = append(m.kinds, event.Kind)
 	}
 }
-func (m *eventMemory) Flush(context.Context) error { return nil }
+func (m *recordedEvents) Flush(context.Context) error { return nil }
 
-func (m *eventMemory) all() []journal.Kind {
+func (m *recordedEvents) all() []journal.Kind {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return slices.Clone(m.kinds)
 }
 
-// nearSide is a router of a region that owns nothing and asks region north.
-type nearSide struct {
+// callingRegion is a router of a region that owns no routes and calls region
+// north.
+type callingRegion struct {
 	*router.Router
 	calls  *countingCaller
-	events *eventMemory
+	events *recordedEvents
 }
 
-// remotePlan has routes of region north, reached through entries.
+// remotePlan returns a plan with routes of region north, which is reached through
+// the entries.
 func remotePlan(entries ...netip.AddrPort) *plan.Plan {
 	slices.SortFunc(entries, netip.AddrPort.Compare)
 	route := func(name string, repeatable bool) plan.RemoteRoute {
@@ -86,11 +88,11 @@
 	}
 }
 
-func newNearSide(t *testing.T, bounds remote.Config, installed *plan.Plan) *nearSide {
+func newCallingRegion(t *testing.T, bounds remote.Config, installed *plan.Plan) *callingRegion {
 	t.Helper()
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	near := &nearSide{events: &eventMemory{}, calls: &countingCaller{RegionCaller: NewClient("near", rpc.Plaintext())}}
+	near := &callingRegion{events: &recordedEvents{}, calls: &countingCaller{RegionCaller: NewClient("near", rpc.Plaintext())}}
 	near.Router = newRouterWith(t, "near", &fixedSource{plan: installed}, logger,
 		func(config *router.Config, dependencies *router.Dependencies) {
 			config.Regions, config.ReachTimeout = bounds, 200*time.Millisecond
@@ -100,19 +102,19 @@
 	return near
 }
 
-func (n *nearSide) ask(route, id string, wait time.Duration) query.Answer {
+func (n *callingRegion) query(route, id string, wait time.Duration) query.Answer {
 	return n.Query(context.Background(), router.Request{CallerID: id, Route: route, Body: []byte(`{}`), Deadline: time.Now().Add(wait)})
 }
 
-// warm waits until the region north answers.
-func (n *nearSide) warm(t *testing.T) {
+// waitUntilAnswered waits until region north answers.
+func (n *callingRegion) waitUntilAnswered(t *testing.T) {
 	t.Helper()
-	require.Eventually(t, func() bool { return n.ask("find", "warm", time.Second).Err == nil }, longWait, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return n.query("find", "warm", time.Second).Err == nil }, longWait, 5*time.Millisecond)
 }
 
-// checkExecutions ends the back ends and holds their record against what callers
-// were told of requests that run at most once.
-func (f *routerFleet) checkExecutions(t *testing.T, told map[string]query.Answer) {
+// checkExecutions stops the back ends and compares their record with the answers
+// that callers received to requests that run at most once.
+func (f *routerFleet) checkExecutions(t *testing.T, answers map[string]query.Answer) {
 	t.Helper()
 	f.closeBackends()
 	counts := map[string]int{}
@@ -121,7 +123,7 @@
 			counts[execution.Request]++
 		}
 	}
-	for id, answer := range told {
+	for id, answer := range answers {
 		switch {
 		case answer.Err == nil:
 			require.Equal(t, 1, counts[id], id)
@@ -133,32 +135,32 @@
 	}
 }
 
-// An entry router need not be of the service's cell. What only the owning
-// region knows of a route is checked there.
+// An entry router need not be in the service's cell. Checks that need the route's
+// definition are made in the owning region.
 func TestRemoteRouteIsAnsweredByItsRegion(t *testing.T) {
 	fleet := startFleet(t)
-	near := newNearSide(t, remote.Config{}, remotePlan(netip.MustParseAddrPort(fleet.others[0].listener.Address())))
-	near.warm(t)
-	answer := near.ask("find", "one", time.Second)
+	near := newCallingRegion(t, remote.Config{}, remotePlan(netip.MustParseAddrPort(fleet.others[0].listener.Address())))
+	near.waitUntilAnswered(t)
+	answer := near.query("find", "one", time.Second)
 	require.Nil(t, answer.Err)
 	require.True(t, answer.Complete)
 	require.Equal(t, "search", answer.Snapshot.Service)
-	first := near.ask("send", "id-1", time.Second)
+	first := near.query("send", "id-1", time.Second)
 	require.Nil(t, first.Err)
-	again := near.ask("send", "id-1", time.Second)
+	again := near.query("send", "id-1", time.Second)
 	require.Equal(t, verdict.ReasonClaimHeld, again.Err.Reason, "claims are the owning region's")
 	refused := near.Query(t.Context(), router.Request{CallerID: "made-up", IDGenerated: true, Route: "send", Body: []byte(`{}`)})
 	require.Equal(t, verdict.ReasonBadRequest, refused.Err.Reason, "a generated id would be another one at every try")
 	require.Equal(t, verdict.NotRun, refused.Verdict)
-	lost := near.ask("lost", "two", time.Second)
+	lost := near.query("lost", "two", time.Second)
 	require.Equal(t, verdict.ReasonWrongRegion, lost.Err.Reason)
 	require.Equal(t, verdict.NotRun, lost.Verdict)
 	fleet.checkExecutions(t, map[string]query.Answer{"id-1": first, "made-up": refused, "two": lost})
 }
 
-// Two regions that each say that the other owns a route: the request crosses
-// once and is refused.
-func TestARequestCrossesOnce(t *testing.T) {
+// If two regions each claim that the other owns a route, the request must cross
+// once and be refused.
+func TestRequestCrossesRegionsOnce(t *testing.T) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	var nodes [2]node
@@ -191,12 +193,12 @@
 	require.Zero(t, calls[1].crossings.Load(), "the request crossed back")
 }
 
-// A region that refuses connections costs one request one try; the next are
-// refused without any. An entry that works is used instead.
-func TestRefusedConnectionsAreNotTriedAgain(t *testing.T) {
-	near := newNearSide(t, remote.Config{FirstPause: time.Hour, LongestPause: time.Hour}, remotePlan(netip.MustParseAddrPort(nobody)))
+// A region that refuses connections costs one request one attempt; later requests
+// are refused without an attempt. If another entry works, it is used instead.
+func TestRefusedConnectionsAreNotRetried(t *testing.T) {
+	near := newCallingRegion(t, remote.Config{FirstPause: time.Hour, LongestPause: time.Hour}, remotePlan(netip.MustParseAddrPort(closedAddress)))
 	for number := range 50 {
-		refused := near.ask("send", fmt.Sprint("id-", number), time.Second)
+		refused := near.query("send", fmt.Sprint("id-", number), time.Second)
 		require.Equal(t, verdict.ReasonRegionUnreachable, refused.Err.Reason, refused.Err.Detail)
 		require.Equal(t, verdict.NotRun, refused.Verdict)
 		require.Positive(t, refused.Err.RetryAfter)
@@ -206,101 +208,102 @@
 	require.False(t, near.Status().Regions[0].Reachable)
 
 	fleet := startFleet(t)
-	both := newNearSide(t, remote.Config{FirstPause: time.Hour, LongestPause: time.Hour},
-		remotePlan(netip.MustParseAddrPort(nobody), netip.MustParseAddrPort(fleet.member.listener.Address())))
-	both.warm(t)
-	told := map[string]query.Answer{}
+	both := newCallingRegion(t, remote.Config{FirstPause: time.Hour, LongestPause: time.Hour},
+		remotePlan(netip.MustParseAddrPort(closedAddress), netip.MustParseAddrPort(fleet.member.listener.Address())))
+	both.waitUntilAnswered(t)
+	answers := map[string]query.Answer{}
 	for number := range 20 {
 		id := fmt.Sprint("both-", number)
-		told[id] = both.ask("send", id, 2*time.Second)
-		require.Nil(t, told[id].Err)
+		answers[id] = both.query("send", id, 2*time.Second)
+		require.Nil(t, answers[id].Err)
 	}
 	require.Empty(t, both.events.all())
-	fleet.checkExecutions(t, told)
+	fleet.checkExecutions(t, answers)
 }
 
-// A cut that drops packets: requests that are out may have run and are at most
-// as many as the limit; then the region is refused at once, without a try, and
-// found again by itself after the cut.
-func TestASilentCutIsNoticedAndBounded(t *testing.T) {
+// During a network cut that drops packets, requests in flight may have run, and
+// their number is bounded by the limit. Then requests to the region must be
+// refused at once, without an attempt. After the cut the region must become
+// reachable again by itself.
+func TestSilentCutIsDetectedAndBounded(t *testing.T) {
 	fleet := startFleet(t)
-	way := testlink.New(t, fleet.member.listener.Address())
+	link := testlink.New(t, fleet.member.listener.Address())
 	const limit = 3
-	near := newNearSide(t, remote.Config{Limit: limit, SilenceAfter: 10 * time.Millisecond, FirstPause: 10 * time.Millisecond,
-		LongestPause: 50 * time.Millisecond}, remotePlan(way.Address()))
-	near.warm(t)
-	way.Silence(true)
-	var out sync.WaitGroup
+	near := newCallingRegion(t, remote.Config{Limit: limit, SilenceAfter: 10 * time.Millisecond, FirstPause: 10 * time.Millisecond,
+		LongestPause: 50 * time.Millisecond}, remotePlan(link.Address()))
+	near.waitUntilAnswered(t)
+	link.Silence(true)
+	var inFlight sync.WaitGroup
 	answers := make([]query.Answer, limit)
 	for index := range answers {
-		out.Go(func() { answers[index] = near.ask("send", fmt.Sprint("out-", index), 500*time.Millisecond) })
+		inFlight.Go(func() { answers[index] = near.query("send", fmt.Sprint("out-", index), 500*time.Millisecond) })
 	}
 	require.Eventually(t, func() bool { return near.Status().Regions[0].InFlight == limit }, longWait, time.Millisecond)
-	over := near.ask("send", "over", time.Second)
+	over := near.query("send", "over", time.Second)
 	require.Equal(t, verdict.ReasonOverloaded, over.Err.Reason)
 	require.Equal(t, verdict.NotRun, over.Verdict)
-	out.Wait()
+	inFlight.Wait()
 	for _, answer := range answers {
 		require.Equal(t, verdict.MayHaveRun, answer.Verdict)
 	}
 	require.Eventually(t, func() bool { return !near.Status().Regions[0].Reachable }, longWait, time.Millisecond)
 	before := near.calls.crossings.Load()
 	for range 100 {
-		refused := near.ask("send", "refused", time.Second)
+		refused := near.query("send", "refused", time.Second)
 		require.Equal(t, verdict.ReasonRegionUnreachable, refused.Err.Reason)
 		require.Equal(t, verdict.NotRun, refused.Verdict)
 	}
 	require.Equal(t, before, near.calls.crossings.Load(), "requests were sent into the cut")
 
-	way.Silence(false)
-	way.Reset() // connections that lost bytes are of no use
+	link.Silence(false)
+	link.Reset() // connections that lost bytes are unusable
 	require.Eventually(t, func() bool { return near.Status().Regions[0].Reachable }, longWait, time.Millisecond)
-	told := map[string]query.Answer{"over": over, "refused": near.ask("send", "refused", 2*time.Second)}
-	require.Nil(t, told["refused"].Err, "what was refused had not run")
+	reported := map[string]query.Answer{"over": over, "refused": near.query("send", "refused", 2*time.Second)}
+	require.Nil(t, reported["refused"].Err, "what was refused had not run")
 	require.Equal(t, []journal.Kind{journal.KindRegionUnreachable, journal.KindRegionReachable}, near.events.all())
 	for index, answer := range answers {
-		told[fmt.Sprint("out-", index)] = answer
+		reported[fmt.Sprint("out-", index)] = answer
 	}
-	fleet.checkExecutions(t, told)
+	fleet.checkExecutions(t, reported)
 }
 
-// A connection that is reset at some byte of the reply: what ran is never said
-// not to have run, and a request of a route that is not repeatable is not
-// offered to the other entry.
+// If a connection is reset at some byte of the reply, a request that ran must
+// never be reported as not run, and a request of a route that is not repeatable
+// must not be sent to the other entry.
 func TestResetWithinTheReply(t *testing.T) {
 	fleet := startFleet(t)
 	target := fleet.member.listener.Address()
 	bounds := remote.Config{FirstPause: time.Hour, LongestPause: time.Hour}
-	told := map[string]query.Answer{}
+	answers := map[string]query.Answer{}
 	for _, bytes := range []int64{0, 1, 20, 60, 100, 140, 180, 220} {
 		t.Run(fmt.Sprint(bytes), func(t *testing.T) {
-			way, other := testlink.New(t, target), testlink.New(t, target)
-			way.LimitReplies(bytes)
-			alone := newNearSide(t, bounds, remotePlan(way.Address()))
+			link, other := testlink.New(t, target), testlink.New(t, target)
+			link.LimitReplies(bytes)
+			alone := newCallingRegion(t, bounds, remotePlan(link.Address()))
 			id := fmt.Sprint("reset-", bytes)
-			told[id] = alone.ask("send", id, time.Second)
-			both := newNearSide(t, bounds, remotePlan(way.Address(), other.Address()))
+			answers[id] = alone.query("send", id, time.Second)
+			both := newCallingRegion(t, bounds, remotePlan(link.Address(), other.Address()))
 			for number := range 8 {
 				id := fmt.Sprint("both-", bytes, "-", number)
 				crossings := both.calls.crossings.Load()
-				told[id] = both.ask("send", id, time.Second)
-				if told[id].Err != nil && told[id].Verdict != verdict.NotRun {
+				answers[id] = both.query("send", id, time.Second)
+				if answers[id].Err != nil && answers[id].Verdict != verdict.NotRun {
 					require.Equal(t, crossings+1, both.calls.crossings.Load(), "offered again though it may have run")
 				}
 			}
-			repeated := newNearSide(t, bounds, remotePlan(way.Address(), netip.MustParseAddrPort(target)))
+			repeated := newCallingRegion(t, bounds, remotePlan(link.Address(), netip.MustParseAddrPort(target)))
 			for number := range 8 {
-				require.Nil(t, repeated.ask("find", fmt.Sprint("again-", number), 2*time.Second).Err, "another entry was to be asked")
+				require.Nil(t, repeated.query("find", fmt.Sprint("again-", number), 2*time.Second).Err, "another entry was to be asked")
 			}
 		})
 	}
-	fleet.checkExecutions(t, told)
+	fleet.checkExecutions(t, answers)
 }
 
-// deafAddress returns an address at which connections are neither taken nor
-// refused: the queue of its listener is full, so that the kernel drops further
-// ones, as a network does that drops packets.
-func deafAddress(t *testing.T) netip.AddrPort {
+// unresponsiveAddress returns an address at which connections are neither
+// accepted nor refused: the accept queue of its listener is full, so the kernel
+// drops further ones, like a network that drops packets.
+func unresponsiveAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
@@ -319,37 +322,37 @@
 	}
 }
 
-// Connections that are never made are given up well before the deadline, so that
-// the request provably was not run and another entry can be asked.
-func TestConnectionsThatAreNeverMade(t *testing.T) {
-	deaf := deafAddress(t)
-	near := newNearSide(t, remote.Config{FirstPause: time.Hour, LongestPause: time.Hour}, remotePlan(deaf))
+// Connection attempts without a result must be given up well before the deadline,
+// so that the request is known not to have run and another entry can be called.
+func TestConnectTimeoutProvesNotRun(t *testing.T) {
+	unresponsive := unresponsiveAddress(t)
+	near := newCallingRegion(t, remote.Config{FirstPause: time.Hour, LongestPause: time.Hour}, remotePlan(unresponsive))
 	// The deadline is shorter than the dialer's own limit of a second.
-	refused := near.ask("send", "id", 900*time.Millisecond)
+	refused := near.query("send", "id", 900*time.Millisecond)
 	require.Equal(t, verdict.NotRun, refused.Verdict)
 	require.Equal(t, verdict.ReasonRegionUnreachable, refused.Err.Reason, "not timeout")
 	require.Eventually(t, func() bool { return !near.Status().Regions[0].Reachable }, longWait, time.Millisecond)
 	before := near.calls.crossings.Load()
-	require.Equal(t, verdict.ReasonRegionUnreachable, near.ask("send", "id", 2*time.Second).Err.Reason)
+	require.Equal(t, verdict.ReasonRegionUnreachable, near.query("send", "id", 2*time.Second).Err.Reason)
 	require.Equal(t, before, near.calls.crossings.Load())
 
 	fleet := startFleet(t)
-	both := newNearSide(t, remote.Config{}, remotePlan(deaf, netip.MustParseAddrPort(fleet.member.listener.Address())))
-	both.warm(t)
-	told := map[string]query.Answer{}
+	both := newCallingRegion(t, remote.Config{}, remotePlan(unresponsive, netip.MustParseAddrPort(fleet.member.listener.Address())))
+	both.waitUntilAnswered(t)
+	answers := map[string]query.Answer{}
 	for number := range 10 {
 		id := fmt.Sprint("beside-", number)
-		told[id] = both.ask("send", id, 4*time.Second)
-		require.Nil(t, told[id].Err)
+		answers[id] = both.query("send", id, 4*time.Second)
+		require.Nil(t, answers[id].Err)
 	}
-	fleet.checkExecutions(t, told)
+	fleet.checkExecutions(t, answers)
 }
 
-// A router without a lease hands over nothing.
-func TestWithoutALeaseNothingIsHandedOver(t *testing.T) {
-	near := newNearSide(t, remote.Config{}, remotePlan(netip.MustParseAddrPort(nobody)))
+// A router without a lease must not forward requests.
+func TestNothingIsForwardedWithoutLease(t *testing.T) {
+	near := newCallingRegion(t, remote.Config{}, remotePlan(netip.MustParseAddrPort(closedAddress)))
 	near.ExtendLease(time.Time{})
-	refused := near.ask("send", "id", time.Second)
+	refused := near.query("send", "id", time.Second)
 	require.Equal(t, verdict.ReasonNoLease, refused.Err.Reason)
 	require.Equal(t, verdict.NotRun, refused.Verdict)
 	require.Zero(t, near.calls.crossings.Load())
--- a/internal/forward/service.go
+++ b/internal/forward/service.go
@@ -17,21 +17,22 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// Local answers requests that other routers hand over; router.Router does.
+// Local answers requests that other routers forward. router.Router implements
+// it.
 type Local interface {
-	// QueryLocal answers without handing the request on.
+	// QueryLocal answers without forwarding the request.
 	QueryLocal(ctx context.Context, request router.Request) query.Answer
-	// QueryCrossed answers a request of another region. It may hand it on
-	// within its own region.
+	// QueryCrossed answers a request of another region. It may forward it within
+	// its own region.
 	QueryCrossed(ctx context.Context, request router.Request) query.Answer
-	// Ready reports whether requests are admitted, and if not, why.
+	// Ready reports whether requests are admitted, and the reason if not.
 	Ready() (bool, verdict.Reason)
 }
 
-// service serves peers.
+// service implements the ForwardService for peers.
 type service struct{ local Local }
 
-// NewHandler returns the handler of the service for peers, with its path.
+// NewHandler returns the path and the handler of the ForwardService.
 func NewHandler(local Local, security *rpc.Security) (string, http.Handler) {
 	path, handler := martenstagev1connect.NewForwardServiceHandler(&service{local: local}, rpc.HandlerOptions())
 	return path, rpc.RequireRole(security, handler, keys.RoleRouter)
@@ -40,11 +41,11 @@
 // Query implements martenstagev1connect.ForwardServiceHandler.
 func (s *service) Query(ctx context.Context, message *connect.Request[v1.ForwardQueryRequest],
 ) (*connect.Response[v1.ForwardQueryResponse], error) {
-	answering := s.local.QueryLocal
+	answerQuery := s.local.QueryLocal
 	if message.Msg.GetCrossed() {
-		answering = s.local.QueryCrossed
+		answerQuery = s.local.QueryCrossed
 	}
-	answer := answering(ctx, requestFromWire(message.Msg, steadyclock.Now()))
+	answer := answerQuery(ctx, requestFromWire(message.Msg, steadyclock.Now()))
 	return connect.NewResponse(answerToWire(answer)), nil
 }
 
--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -1,6 +1,7 @@
-// Package forward carries requests between routers: from one that is not of
-// the cell of a request's service to one that is. A request is handed on at
-// most once.
+// Package forward sends requests from one router to another: from a router
+// outside the cell of the request's service to one in the cell, and to the entry
+// routers of other regions. A request is forwarded at most once within a region
+// and crosses between regions at most once.
 package forward
 
 import (
@@ -77,15 +78,15 @@
 	return message
 }
 
-// answerFromWire reads an answer. A verdict that is not one counts as
-// may_have_run, since nothing is proved by it.
+// answerFromWire decodes an answer. An unknown verdict is treated as
+// may_have_run, since it proves nothing.
 func answerFromWire(message *v1.ForwardQueryResponse) query.Answer {
-	ran, err := verdict.Parse(message.GetVerdict())
+	outcome, err := verdict.Parse(message.GetVerdict())
 	if err != nil {
-		ran = verdict.MayHaveRun
+		outcome = verdict.MayHaveRun
 	}
 	answer := query.Answer{
-		Verdict: ran,
+		Verdict: outcome,
 		Snapshot: query.Snapshot{
 			Service:    message.GetSnapshot().GetService(),
 			Generation: message.GetSnapshot().GetGeneration(),
@@ -112,7 +113,7 @@
 		Restarts:       int(message.GetRestarts()),
 	}
 	if failure := message.GetFailure(); failure != nil {
-		answer.Err = &verdict.Error{Verdict: ran, Reason: verdict.Reason(failure.GetReason()),
+		answer.Err = &verdict.Error{Verdict: outcome, Reason: verdict.Reason(failure.GetReason()),
 			Detail: failure.GetDetail(), RetryAfter: failure.GetRetryAfter().AsDuration()}
 	}
 	return answer
