--- a/internal/remote/entry.go
+++ b/internal/remote/entry.go
@@ -8,69 +8,70 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// entry is what is known of one entry router.
+// entry is the state of one entry router.
 type entry struct {
 	address netip.AddrPort
 	// failing entries get no requests.
 	failing bool
-	// doubted entries left a request without an answer. They get requests until
-	// a probe fails, too: a slow route is no proof that the entry is gone.
-	doubted bool
-	// failures counts the failures in a row.
+	// suspected entries left a request without an answer. They still get requests
+	// until a probe also fails, since a slow route does not prove that the entry
+	// has failed.
+	suspected bool
+	// failures counts consecutive failures.
 	failures int
-	// probeAt is when the entry is probed next, if it is failing or doubted.
-	probeAt time.Time
-	probing bool
-	// probedAt is when the last probe ended.
-	probedAt time.Time
+	// nextProbe is when the entry is probed next, if it is failing or suspected.
+	nextProbe     time.Time
+	probeInFlight bool
+	// lastProbeEnd is when the last probe ended.
+	lastProbeEnd time.Time
 	// changedAt is when the entry last failed or recovered.
 	changedAt time.Time
-	// out counts the requests that the entry was asked and that have not ended.
-	out int
+	// inFlight counts the requests to the entry that have not ended.
+	inFlight int
 }
 
-func (e *entry) recover(now time.Time) {
+func (e *entry) markRecovered(now time.Time) {
 	if e.failing {
 		e.changedAt = now
 	}
-	e.failing, e.doubted, e.failures = false, false, 0
+	e.failing, e.suspected, e.failures = false, false, 0
 }
 
-// doubtPause is the least time between two probes of a doubted entry, so that
-// slow routes do not cause a stream of probes.
-const doubtPause = time.Second
+// minSuspectProbeInterval is the minimum time between two probes of a suspected
+// entry, so that slow routes do not cause a stream of probes.
+const minSuspectProbeInterval = time.Second
 
-func (e *entry) doubt(now time.Time) {
-	if e.failing || e.doubted {
+func (e *entry) suspect(now time.Time) {
+	if e.failing || e.suspected {
 		return
 	}
-	e.doubted = true
-	e.probeAt = now
-	if earliest := e.probedAt.Add(doubtPause); !e.probedAt.IsZero() && e.probeAt.Before(earliest) {
-		e.probeAt = earliest
+	e.suspected = true
+	e.nextProbe = now
+	if earliest := e.lastProbeEnd.Add(minSuspectProbeInterval); !e.lastProbeEnd.IsZero() && e.nextProbe.Before(earliest) {
+		e.nextProbe = earliest
 	}
 }
 
-func (r *Region) fail(e *entry, now time.Time) {
+func (r *Region) markFailed(e *entry, now time.Time) {
 	if r.config.NeverFail {
 		return
 	}
 	if !e.failing {
 		e.changedAt = now
 	}
-	e.failing, e.doubted = true, false
+	e.failing, e.suspected = true, false
 	e.failures++
-	e.probeAt = now.Add(r.pause(e))
+	e.nextProbe = now.Add(r.probeBackoff(e))
 }
 
-// maxDoublings keeps the shift of a pause within range.
+// maxDoublings keeps the shift that computes the backoff within range.
 const maxDoublings = 20
 
-// pause is how long a failing entry is left alone: FirstPause, doubled with
-// each further failure up to LongestPause, and varied by a quarter either way
-// so that the probes of many routers don't come at once.
-func (r *Region) pause(e *entry) time.Duration {
-	pause := min(r.config.FirstPause<<min(e.failures-1, maxDoublings), r.config.LongestPause)
+// probeBackoff returns the time before the next probe of a failing entry:
+// FirstPause, doubled with each further failure up to LongestPause, with a jitter
+// of a quarter either way so that many routers do not probe at the same time.
+func (r *Region) probeBackoff(e *entry) time.Duration {
+	backoff := min(r.config.FirstPause<<min(e.failures-1, maxDoublings), r.config.LongestPause)
 	var text [8 + 8]byte
 	binary.LittleEndian.PutUint64(text[:8], r.config.Seed)
 	binary.LittleEndian.PutUint64(text[8:], uint64(e.failures))
@@ -78,39 +79,39 @@
 	_, _ = digest.Write(text[:]) // it has no errors
 	_, _ = digest.WriteString(e.address.String())
 	const parts = 1024
-	quarter := pause / 4
-	return pause - quarter + 2*quarter*time.Duration(digest.Sum64()%parts)/parts
+	quarter := backoff / 4
+	return backoff - quarter + 2*quarter*time.Duration(digest.Sum64()%parts)/parts
 }
 
-// DueProbes returns the entries to probe now. Each is then under probe until
-// Probed tells the outcome.
+// DueProbes returns the entries to probe now. The probe of each is in flight
+// until Probed reports its outcome.
 func (r *Region) DueProbes(now time.Time) []netip.AddrPort {
 	var due []netip.AddrPort
 	for index := range r.entries {
-		one := &r.entries[index]
-		if one.waitsForProbe() && !now.Before(one.probeAt) {
-			one.probing = true
-			due = append(due, one.address)
+		candidate := &r.entries[index]
+		if candidate.needsProbe() && !now.Before(candidate.nextProbe) {
+			candidate.probeInFlight = true
+			due = append(due, candidate.address)
 		}
 	}
 	return due
 }
 
-func (e *entry) waitsForProbe() bool { return (e.failing || e.doubted) && !e.probing }
+func (e *entry) needsProbe() bool { return (e.failing || e.suspected) && !e.probeInFlight }
 
-// Probed takes in the outcome of a probe.
+// Probed records the outcome of a probe.
 func (r *Region) Probed(now time.Time, address netip.AddrPort, reached bool) Change {
-	one := r.entry(address)
-	if one == nil || !one.probing {
+	probed := r.entry(address)
+	if probed == nil || !probed.probeInFlight {
 		return Unchanged
 	}
-	one.probing, one.probedAt = false, now
+	probed.probeInFlight, probed.lastProbeEnd = false, now
 	if reached {
-		one.recover(now)
+		probed.markRecovered(now)
 	} else {
-		r.fail(one, now)
+		r.markFailed(probed, now)
 	}
-	return r.change()
+	return r.reachabilityChange()
 }
 
 // NextProbe returns when the next probe is due; false when none is.
@@ -118,16 +119,16 @@
 	var next time.Time
 	found := false
 	for index := range r.entries {
-		one := &r.entries[index]
-		if one.waitsForProbe() && (!found || one.probeAt.Before(next)) {
-			next, found = one.probeAt, true
+		candidate := &r.entries[index]
+		if candidate.needsProbe() && (!found || candidate.nextProbe.Before(next)) {
+			next, found = candidate.nextProbe, true
 		}
 	}
 	return next, found
 }
 
-// RetryAfter is how long a refused caller is told to wait: until the next probe
-// has had time to tell, and least at least.
+// RetryAfter returns how long a refused caller should wait: until the next probe
+// has had time to complete, but no less than least.
 func (r *Region) RetryAfter(now time.Time, least time.Duration) time.Duration {
 	next, found := r.NextProbe()
 	if !found {
@@ -140,17 +141,17 @@
 type EntryState struct {
 	Address netip.AddrPort
 	Failing bool
-	// Failures counts those in a row.
+	// Failures counts consecutive failures.
 	Failures int
-	// Out counts the requests that have not ended.
+	// Out counts the requests in flight.
 	Out int
 }
 
-// Entries describes the entries in the order of their addresses.
+// Entries returns the state of the entries in the order passed to Update.
 func (r *Region) Entries() []EntryState {
 	states := make([]EntryState, 0, len(r.entries))
-	for _, one := range r.entries {
-		states = append(states, EntryState{Address: one.address, Failing: one.failing, Failures: one.failures, Out: one.out})
+	for _, current := range r.entries {
+		states = append(states, EntryState{Address: current.address, Failing: current.failing, Failures: current.failures, Out: current.inFlight})
 	}
 	return states
 }
--- a/internal/remote/region.go
+++ b/internal/remote/region.go
@@ -9,21 +9,20 @@
 
 // Config sets the bounds of a Region.
 type Config struct {
-	// Limit bounds the requests on their way to the region. It is what keeps a
-	// region that was cut off without a word from holding every request of this
-	// router until its deadline.
+	// Limit bounds the requests in flight to the region. Without it, a silently
+	// cut off region would hold every request of this router until its deadline.
 	Limit int
 	// FirstPause is the pause before the first probe of an entry that failed.
 	// Each failed probe doubles it, up to LongestPause.
 	FirstPause   time.Duration
 	LongestPause time.Duration
-	// SilenceAfter is how long a request must have waited in vain before its
-	// entry is doubted. Shorter waits say more about the caller's deadline.
+	// SilenceAfter is how long a request must have waited without an answer before
+	// its entry is suspected. Shorter waits say more about the caller's deadline.
 	SilenceAfter time.Duration
 	// Seed spreads the probes of many routers over time.
 	Seed uint64
-	// NeverFail switches the core's judgement off: entries always get requests.
-	// It is the baseline of measurements.
+	// NeverFail disables failure detection: entries always get requests. It is
+	// used as the baseline of measurements.
 	NeverFail bool
 }
 
@@ -43,27 +42,28 @@
 	return c
 }
 
-// Outcome is what became of a request that an entry was asked.
+// Outcome is the result of a request to an entry.
 type Outcome uint8
 
 // Outcomes.
 const (
-	// Answered: the entry answered, whatever the answer says.
+	// Answered: the entry answered, whatever the content of the answer.
 	Answered Outcome = iota + 1
-	// TurnedAway: the entry answered that it takes no requests, because it is
+	// TurnedAway: the entry answered that it accepts no requests, because it is
 	// stopping or has no lease.
 	TurnedAway
 	// NotConnected: the connection was refused, so nothing was sent.
 	NotConnected
-	// SlowConnect: no connection was made in the time that the request had for
-	// it, so nothing was sent. How long that was is the caller's choice, so that
-	// it is a reason for doubt only.
+	// SlowConnect: no connection was made within the request's connect timeout, so
+	// nothing was sent. The caller chooses that timeout, so the entry is only
+	// suspected.
 	SlowConnect
 	// Broken: the connection ended without an answer.
 	Broken
 	// Silent: no answer came before the deadline.
 	Silent
-	// Abandoned: the caller went away. It says nothing about the entry.
+	// Abandoned: the caller canceled the request, which says nothing about the
+	// entry.
 	Abandoned
 )
 
@@ -77,34 +77,34 @@
 	BecameReachable
 )
 
-// Region is what one router knows of another region.
+// Region is the state that one router keeps of another region.
 type Region struct {
 	config   Config
 	entries  []entry
 	inFlight int
-	// reachable is what was reported last.
+	// reachable is the reachability that was last reported.
 	reachable bool
 }
 
-// New returns a region whose entries count as reachable until they fail.
+// New returns a region whose entries are assumed reachable until they fail.
 func New(config Config, entries []netip.AddrPort) *Region {
 	created := &Region{config: config.withDefaults(), reachable: true}
 	created.Update(entries)
 	return created
 }
 
-// Update replaces the entries. What is known of those that stay is kept.
+// Update replaces the entries. The state of retained entries is kept.
 func (r *Region) Update(entries []netip.AddrPort) Change {
 	next := make([]entry, 0, len(entries))
 	for _, address := range entries {
-		if known := r.entry(address); known != nil {
-			next = append(next, *known)
+		if existing := r.entry(address); existing != nil {
+			next = append(next, *existing)
 			continue
 		}
 		next = append(next, entry{address: address})
 	}
 	r.entries = next
-	return r.change()
+	return r.reachabilityChange()
 }
 
 func (r *Region) entry(address netip.AddrPort) *entry {
@@ -120,8 +120,8 @@
 	return slices.ContainsFunc(r.entries, func(one entry) bool { return !one.failing })
 }
 
-// change reports whether reachability differs from what was reported last.
-func (r *Region) change() Change {
+// reachabilityChange returns how reachability changed since it was last reported.
+func (r *Region) reachabilityChange() Change {
 	reachable := r.Reachable()
 	switch {
 	case reachable == r.reachable:
@@ -135,10 +135,10 @@
 	}
 }
 
-// InFlight is the number of requests on their way.
+// InFlight returns the number of requests in flight.
 func (r *Region) InFlight() int { return r.inFlight }
 
-// Refusal says why a request is not sent.
+// Refusal is the reason why a request is not sent.
 type Refusal uint8
 
 // Refusals. The zero value is none.
@@ -146,12 +146,11 @@
 	Accepted Refusal = iota
 	// Unreachable: every entry fails.
 	Unreachable
-	// Full: too many requests are on their way.
+	// Full: too many requests are in flight.
 	Full
 )
 
-// Begin takes a request in, or refuses it. An accepted one must be ended by
-// End.
+// Begin accepts or refuses a request. An accepted request must be ended by End.
 func (r *Region) Begin() Refusal {
 	switch {
 	case !r.Reachable():
@@ -167,72 +166,73 @@
 // End ends a request that Begin accepted.
 func (r *Region) End() { r.inFlight-- }
 
-// Choose returns the entry to ask next. Entries that fail and those already
-// tried are left out; a doubted one is taken only if there is no other. Of two
-// that the seed selects, the one with fewer requests out is taken. It returns
-// false when there is none.
+// Choose returns the entry to call next. It skips failing and already tried
+// entries, and returns a suspected entry only if there is no other. Of two
+// candidates selected by the seed, it returns the one with fewer requests in
+// flight. It returns false when no entry is usable.
 func (r *Region) Choose(seed uint64, tried []netip.AddrPort) (netip.AddrPort, bool) {
 	first := r.candidate(seed, tried, nil)
 	if first == nil {
 		return netip.AddrPort{}, false
 	}
 	second := r.candidate(seed, tried, first)
-	if second != nil && second.doubted == first.doubted && second.out < first.out {
+	if second != nil && second.suspected == first.suspected && second.inFlight < first.inFlight {
 		first = second
 	}
-	first.out++
+	first.inFlight++
 	return first.address, true
 }
 
-// candidate returns the first usable entry from the seed's place on.
-func (r *Region) candidate(seed uint64, tried []netip.AddrPort, not *entry) *entry {
-	var doubted *entry
+// candidate returns the first usable entry, starting at the index given by the
+// seed.
+func (r *Region) candidate(seed uint64, tried []netip.AddrPort, exclude *entry) *entry {
+	var suspected *entry
 	count := len(r.entries)
 	for step := range count {
-		one := &r.entries[(int(seed%uint64(count))+step)%count]
+		current := &r.entries[(int(seed%uint64(count))+step)%count]
 		switch {
-		case one.failing || one == not || slices.Contains(tried, one.address):
-		case !one.doubted:
-			return one
-		case doubted == nil:
-			doubted = one
+		case current.failing || current == exclude || slices.Contains(tried, current.address):
+		case !current.suspected:
+			return current
+		case suspected == nil:
+			suspected = current
 		}
 	}
-	return doubted
+	return suspected
 }
 
-// Asked is a request that an entry was asked, and its outcome.
+// Asked is a request to an entry and its outcome.
 type Asked struct {
 	Entry   netip.AddrPort
 	Outcome Outcome
-	// Begun is when the entry was chosen.
+	// Begun is the time at which the entry was chosen.
 	Begun time.Time
 }
 
-// Step takes in the outcome of a request. An outcome of a request that was
-// begun before the entry last failed or recovered says nothing new.
-func (r *Region) Step(now time.Time, asked Asked) Change {
-	one := r.entry(asked.Entry)
-	if one == nil {
+// Step records the outcome of a request. The outcome is ignored if the request
+// began before the entry last failed or recovered.
+func (r *Region) Step(now time.Time, attempt Asked) Change {
+	called := r.entry(attempt.Entry)
+	if called == nil {
 		return Unchanged
 	}
-	one.out = max(0, one.out-1)
-	if asked.Begun.Before(one.changedAt) {
+	called.inFlight = max(0, called.inFlight-1)
+	if attempt.Begun.Before(called.changedAt) {
 		return Unchanged
 	}
-	switch asked.Outcome {
+	switch attempt.Outcome {
 	case Answered:
-		one.recover(now)
+		called.markRecovered(now)
 	case TurnedAway, NotConnected, Broken:
-		r.fail(one, now)
+		r.markFailed(called, now)
 	case Silent:
-		if now.Sub(asked.Begun) >= r.config.SilenceAfter && !r.config.NeverFail {
-			one.doubt(now)
+		if now.Sub(attempt.Begun) >= r.config.SilenceAfter && !r.config.NeverFail {
+			called.suspect(now)
 		}
 	case SlowConnect:
 		if !r.config.NeverFail {
-			one.doubt(now)
+			called.suspect(now)
 		}
 	}
-	return r.change()
+	return r.reachabilityChange()
 }
--- a/internal/remote/region_test.go
+++ b/internal/remote/region_test.go
@@ -12,30 +12,30 @@
 	"pgregory.net/rapid"
 )
 
-func entryNumber(number int) netip.AddrPort {
+func entryAddress(number int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(number + 1)}), 8081)
 }
 
-func entriesOf(count int) []netip.AddrPort {
+func entryAddresses(count int) []netip.AddrPort {
 	var addresses []netip.AddrPort
 	for number := range count {
-		addresses = append(addresses, entryNumber(number))
+		addresses = append(addresses, entryAddress(number))
 	}
 	return addresses
 }
 
-// world drives a region by random events and checks it after each of them.
-type world struct {
-	t         *rapid.T
-	region    *Region
-	config    Config
-	now       time.Time
-	out       []Asked
-	probing   []netip.AddrPort
-	reachable bool
+// regionModel drives a region by random events and checks it after each of them.
+type regionModel struct {
+	t              *rapid.T
+	region         *Region
+	config         Config
+	now            time.Time
+	inFlight       []Asked
+	probesInFlight []netip.AddrPort
+	reachable      bool
 }
 
-func (w *world) observe(change Change) {
+func (w *regionModel) applyChange(change Change) {
 	switch change {
 	case BecameReachable:
 		require.False(w.t, w.reachable, "reachable again, and was never reported unreachable")
@@ -47,16 +47,16 @@
 	require.Equal(w.t, w.reachable, w.region.Reachable(), "a change was not reported")
 }
 
-func (w *world) ask() {
-	before, reachable := w.region.InFlight(), w.region.Reachable()
+func (w *regionModel) sendRequest() {
+	inFlightBefore, reachable := w.region.InFlight(), w.region.Reachable()
 	refusal := w.region.Begin()
-	require.Equal(w.t, !reachable, refusal == Unreachable, "a region that is gone is refused at once")
+	require.Equal(w.t, !reachable, refusal == Unreachable, "requests to an unreachable region must be refused at once")
 	switch refusal {
 	case Unreachable:
-		require.Equal(w.t, before, w.region.InFlight())
+		require.Equal(w.t, inFlightBefore, w.region.InFlight())
 		return
 	case Full:
-		require.Equal(w.t, w.config.Limit, before)
+		require.Equal(w.t, w.config.Limit, inFlightBefore)
 		return
 	}
 	var tried []netip.AddrPort
@@ -65,28 +65,28 @@
 		usable := slices.ContainsFunc(w.region.Entries(), func(state EntryState) bool {
 			return !state.Failing && !slices.Contains(tried, state.Address)
 		})
-		require.Equal(w.t, usable, found, "an entry was left unused, or none was to be had")
+		require.Equal(w.t, usable, found, "a usable entry was not chosen, or an unusable one was")
 		if !found {
 			w.region.End()
 			return
 		}
 		state := w.state(chosen)
 		require.False(w.t, state.Failing, "a failing entry got a request")
-		require.NotContains(w.t, tried, chosen, "an entry was asked twice")
+		require.NotContains(w.t, tried, chosen, "an entry was called twice")
 		tried = append(tried, chosen)
-		asked := Asked{Entry: chosen, Begun: w.now}
+		attempt := Asked{Entry: chosen, Begun: w.now}
 		if rapid.Bool().Draw(w.t, "refused at once") {
-			asked.Outcome = NotConnected
-			w.observe(w.region.Step(w.now, asked))
+			attempt.Outcome = NotConnected
+			w.applyChange(w.region.Step(w.now, attempt))
 			continue
 		}
-		w.out = append(w.out, asked)
+		w.inFlight = append(w.inFlight, attempt)
 		return
 	}
 	w.region.End()
 }
 
-func (w *world) state(address netip.AddrPort) EntryState {
+func (w *regionModel) state(address netip.AddrPort) EntryState {
 	for _, state := range w.region.Entries() {
 		if state.Address == address {
 			return state
@@ -96,51 +96,51 @@
 	return EntryState{}
 }
 
-func (w *world) endOne() {
-	if len(w.out) == 0 {
+func (w *regionModel) endRequest() {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	index := rapid.IntRange(0, len(w.out)-1).Draw(w.t, "request")
-	asked := w.out[index]
-	w.out = slices.Delete(w.out, index, index+1)
-	asked.Outcome = rapid.SampledFrom([]Outcome{Answered, TurnedAway, NotConnected, SlowConnect, Broken, Silent, Abandoned}).Draw(w.t, "outcome")
-	w.observe(w.region.Step(w.now, asked))
+	index := rapid.IntRange(0, len(w.inFlight)-1).Draw(w.t, "request")
+	attempt := w.inFlight[index]
+	w.inFlight = slices.Delete(w.inFlight, index, index+1)
+	attempt.Outcome = rapid.SampledFrom([]Outcome{Answered, TurnedAway, NotConnected, SlowConnect, Broken, Silent, Abandoned}).Draw(w.t, "outcome")
+	w.applyChange(w.region.Step(w.now, attempt))
 	w.region.End()
 }
 
-func (w *world) startProbes() {
+func (w *regionModel) startProbes() {
 	for _, address := range w.region.DueProbes(w.now) {
-		require.NotContains(w.t, w.probing, address, "two probes of one entry at once")
-		w.probing = append(w.probing, address)
+		require.NotContains(w.t, w.probesInFlight, address, "two probes of one entry at once")
+		w.probesInFlight = append(w.probesInFlight, address)
 	}
 }
 
-func (w *world) endProbe() {
-	if len(w.probing) == 0 {
+func (w *regionModel) endProbe() {
+	if len(w.probesInFlight) == 0 {
 		return
 	}
-	address := w.probing[0]
-	w.probing = w.probing[1:]
+	address := w.probesInFlight[0]
+	w.probesInFlight = w.probesInFlight[1:]
 	reached := rapid.Bool().Draw(w.t, "reached")
-	w.observe(w.region.Probed(w.now, address, reached))
-	require.Equal(w.t, reached, !w.state(address).Failing, "a probe's word was not taken")
+	w.applyChange(w.region.Probed(w.now, address, reached))
+	require.Equal(w.t, reached, !w.state(address).Failing, "the outcome of a probe was ignored")
 }
 
-// check holds after every event.
-func (w *world) check() {
+// checkInvariants checks what must hold after every event.
+func (w *regionModel) checkInvariants() {
 	require.LessOrEqual(w.t, w.region.InFlight(), w.config.Limit)
-	require.Equal(w.t, len(w.out), w.region.InFlight())
-	out := 0
+	require.Equal(w.t, len(w.inFlight), w.region.InFlight())
+	inFlight := 0
 	for _, state := range w.region.Entries() {
-		out += state.Out
-		if !state.Failing || slices.Contains(w.probing, state.Address) {
+		inFlight += state.Out
+		if !state.Failing || slices.Contains(w.probesInFlight, state.Address) {
 			continue
 		}
 		next, found := w.region.NextProbe()
 		require.True(w.t, found, "a failing entry is never probed")
-		require.False(w.t, next.After(w.now.Add(w.config.LongestPause*5/4)), "the next probe is too far away")
+		require.False(w.t, next.After(w.now.Add(w.config.LongestPause*5/4)), "the next probe is too late")
 	}
-	require.Equal(w.t, len(w.out), out)
+	require.Equal(w.t, len(w.inFlight), inFlight)
 	if !w.region.Reachable() {
 		wait := w.region.RetryAfter(w.now, time.Millisecond)
 		require.Positive(w.t, wait)
@@ -155,30 +155,30 @@
 			SilenceAfter: 250 * time.Millisecond, Seed: rapid.Uint64().Draw(t, "seed"),
 		}
 		count := rapid.IntRange(1, 3).Draw(t, "entries")
-		w := &world{t: t, config: config, region: New(config, entriesOf(count)), now: time.Unix(1000, 0), reachable: true}
+		w := &regionModel{t: t, config: config, region: New(config, entryAddresses(count)), now: time.Unix(1000, 0), reachable: true}
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			w.now = w.now.Add(time.Duration(rapid.IntRange(0, 800).Draw(t, "wait")) * time.Millisecond)
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				w.ask()
+				w.sendRequest()
 			case 1:
-				w.endOne()
+				w.endRequest()
 			case 2:
 				w.startProbes()
 			case 3:
 				w.endProbe()
 			}
-			w.check()
+			w.checkInvariants()
 		}
 	})
 }
 
-// TestPausesDoubleUpToTheBound also covers that an entry which recovered starts
-// over with the first pause.
-func TestPausesDoubleUpToTheBound(t *testing.T) {
+// TestProbeBackoffDoublesUpToTheBound also checks that the backoff of an entry
+// starts over with the first pause after a recovery.
+func TestProbeBackoffDoublesUpToTheBound(t *testing.T) {
 	now := time.Unix(1000, 0)
-	region := New(Config{}, entriesOf(1))
-	require.Equal(t, BecameUnreachable, region.Step(now, Asked{Entry: entryNumber(0), Outcome: NotConnected, Begun: now}))
+	region := New(Config{}, entryAddresses(1))
+	require.Equal(t, BecameUnreachable, region.Step(now, Asked{Entry: entryAddress(0), Outcome: NotConnected, Begun: now}))
 	for failures := range 12 {
 		next, found := region.NextProbe()
 		require.True(t, found)
@@ -188,24 +188,24 @@
 		now = next
 		require.Len(t, region.DueProbes(now), 1)
 		require.Empty(t, region.DueProbes(now), "a second probe at once")
-		region.Probed(now, entryNumber(0), false)
+		region.Probed(now, entryAddress(0), false)
 	}
 	now, _ = region.NextProbe()
 	region.DueProbes(now)
-	require.Equal(t, BecameReachable, region.Probed(now, entryNumber(0), true))
-	region.Step(now, Asked{Entry: entryNumber(0), Outcome: Broken, Begun: now})
+	require.Equal(t, BecameReachable, region.Probed(now, entryAddress(0), true))
+	region.Step(now, Asked{Entry: entryAddress(0), Outcome: Broken, Begun: now})
 	next, _ := region.NextProbe()
 	require.LessOrEqual(t, next.Sub(now), DefaultFirstPause*5/4)
 }
 
-// TestSilenceAloneTurnsNobodyAway: an entry that left a request unanswered is
-// probed at once, used only if there is no other, and given up when the probe
-// fails. A caller with hardly any time is no witness.
-func TestSilenceAloneTurnsNobodyAway(t *testing.T) {
+// TestTimeoutAloneDoesNotFailAnEntry checks that an entry that left a request
+// unanswered is probed at once, used only if there is no other, and failed when
+// the probe fails. Requests with a very short deadline are not evidence.
+func TestTimeoutAloneDoesNotFailAnEntry(t *testing.T) {
 	now := time.Unix(1000, 0)
-	region := New(Config{}, entriesOf(2))
+	region := New(Config{}, entryAddresses(2))
 	silent := func(waited time.Duration) Change {
-		return region.Step(now, Asked{Entry: entryNumber(0), Outcome: Silent, Begun: now.Add(-waited)})
+		return region.Step(now, Asked{Entry: entryAddress(0), Outcome: Silent, Begun: now.Add(-waited)})
 	}
 	require.Equal(t, Unchanged, silent(time.Millisecond))
 	require.Empty(t, region.DueProbes(now))
@@ -213,81 +213,81 @@
 	for seed := range uint64(4) {
 		chosen, found := region.Choose(seed, nil)
 		require.True(t, found)
-		require.Equal(t, entryNumber(1), chosen, "a doubted entry was preferred")
+		require.Equal(t, entryAddress(1), chosen, "a suspected entry was preferred")
 	}
-	chosen, found := region.Choose(0, []netip.AddrPort{entryNumber(1)})
+	chosen, found := region.Choose(0, []netip.AddrPort{entryAddress(1)})
 	require.True(t, found)
-	require.Equal(t, entryNumber(0), chosen)
-	require.Equal(t, []netip.AddrPort{entryNumber(0)}, region.DueProbes(now))
-	region.Probed(now, entryNumber(0), false)
-	_, found = region.Choose(0, []netip.AddrPort{entryNumber(1)})
+	require.Equal(t, entryAddress(0), chosen)
+	require.Equal(t, []netip.AddrPort{entryAddress(0)}, region.DueProbes(now))
+	region.Probed(now, entryAddress(0), false)
+	_, found = region.Choose(0, []netip.AddrPort{entryAddress(1)})
 	require.False(t, found)
 }
 
-// TestOldOutcomesSayNothingNew: hundreds of requests that break with one
-// connection are one failure, and an answer to a request from before a failure
-// does not undo it.
-func TestOldOutcomesSayNothingNew(t *testing.T) {
+// TestOutdatedOutcomesAreIgnored checks that hundreds of requests that break with
+// one connection count as one failure, and that an answer to a request from
+// before a failure does not undo it.
+func TestOutdatedOutcomesAreIgnored(t *testing.T) {
 	begun := time.Unix(1000, 0)
 	now := begun.Add(time.Second)
-	region := New(Config{}, entriesOf(1))
+	region := New(Config{}, entryAddresses(1))
 	for range 300 {
-		region.Step(now, Asked{Entry: entryNumber(0), Outcome: Broken, Begun: begun})
+		region.Step(now, Asked{Entry: entryAddress(0), Outcome: Broken, Begun: begun})
 	}
 	require.Equal(t, 1, region.Entries()[0].Failures)
-	require.Equal(t, Unchanged, region.Step(now, Asked{Entry: entryNumber(0), Outcome: Answered, Begun: begun}))
+	require.Equal(t, Unchanged, region.Step(now, Asked{Entry: entryAddress(0), Outcome: Answered, Begun: begun}))
 	require.False(t, region.Reachable())
 }
 
-// TestUpdateKeepsWhatIsKnown replaces the entries: one that stays goes on as it
-// was, and a region whose entries were all gone is reachable by a new one.
-func TestUpdateKeepsWhatIsKnown(t *testing.T) {
+// TestUpdateKeepsEntryState replaces the entries: a retained entry must keep its
+// state, and a region whose entries all failed must be reachable by a new one.
+func TestUpdateKeepsEntryState(t *testing.T) {
 	now := time.Unix(1000, 0)
-	region := New(Config{}, entriesOf(1))
-	region.Step(now, Asked{Entry: entryNumber(0), Outcome: NotConnected, Begun: now})
-	require.Equal(t, BecameReachable, region.Update(entriesOf(2)))
+	region := New(Config{}, entryAddresses(1))
+	region.Step(now, Asked{Entry: entryAddress(0), Outcome: NotConnected, Begun: now})
+	require.Equal(t, BecameReachable, region.Update(entryAddresses(2)))
 	require.True(t, region.Entries()[0].Failing)
-	require.Equal(t, BecameUnreachable, region.Update(entriesOf(1)))
+	require.Equal(t, BecameUnreachable, region.Update(entryAddresses(1)))
 }
 
-// TestProbesOfManyRoutersSpread: routers that lose an entry at one moment do not
-// all probe it at another.
+// TestProbesOfManyRoutersSpread checks that routers that lose an entry at the
+// same time do not all probe it at the same time.
 func TestProbesOfManyRoutersSpread(t *testing.T) {
 	now := time.Unix(1000, 0)
 	times := map[time.Time]bool{}
 	const routers = 200
 	for seed := range uint64(routers) {
-		region := New(Config{Seed: seed}, entriesOf(1))
-		region.Step(now, Asked{Entry: entryNumber(0), Outcome: NotConnected, Begun: now})
+		region := New(Config{Seed: seed}, entryAddresses(1))
+		region.Step(now, Asked{Entry: entryAddress(0), Outcome: NotConnected, Begun: now})
 		next, _ := region.NextProbe()
 		times[next] = true
 	}
 	require.Greater(t, len(times), routers/2, fmt.Sprint(len(times)))
 }
 
-// TestEverySeedFindsTheEntryThatIsLeft includes the highest seeds, at which a sum
-// of seed and place wraps around.
-func TestEverySeedFindsTheEntryThatIsLeft(t *testing.T) {
+// TestEverySeedFindsTheOnlyUsableEntry includes the highest seeds, at which the
+// sum of seed and index would wrap around.
+func TestEverySeedFindsTheOnlyUsableEntry(t *testing.T) {
 	now := time.Unix(1000, 0)
-	region := New(Config{}, entriesOf(3))
+	region := New(Config{}, entryAddresses(3))
 	for _, number := range []int{1, 2} {
-		region.Step(now, Asked{Entry: entryNumber(number), Outcome: NotConnected, Begun: now})
+		region.Step(now, Asked{Entry: entryAddress(number), Outcome: NotConnected, Begun: now})
 	}
 	for offset := range uint64(6) {
 		for _, seed := range []uint64{offset, math.MaxUint64 - offset} {
 			chosen, found := region.Choose(seed, nil)
 			require.True(t, found, seed)
-			require.Equal(t, entryNumber(0), chosen)
+			require.Equal(t, entryAddress(0), chosen)
 		}
 	}
 }
 
-// TestAConnectionThatTookTooLongIsADoubt: how long it may take is the caller's
-// choice, so that only a probe says that the entry is gone.
-func TestAConnectionThatTookTooLongIsADoubt(t *testing.T) {
+// TestSlowConnectOnlySuspectsTheEntry: the caller chooses the connect timeout, so
+// only a failed probe shows that the entry has failed.
+func TestSlowConnectOnlySuspectsTheEntry(t *testing.T) {
 	now := time.Unix(1000, 0)
-	region := New(Config{}, entriesOf(1))
-	require.Equal(t, Unchanged, region.Step(now, Asked{Entry: entryNumber(0), Outcome: SlowConnect, Begun: now}))
-	require.Equal(t, entriesOf(1), region.DueProbes(now))
-	require.Equal(t, BecameUnreachable, region.Probed(now, entryNumber(0), false))
+	region := New(Config{}, entryAddresses(1))
+	require.Equal(t, Unchanged, region.Step(now, Asked{Entry: entryAddress(0), Outcome: SlowConnect, Begun: now}))
+	require.Equal(t, entryAddresses(1), region.DueProbes(now))
+	require.Equal(t, BecameUnreachable, region.Probed(now, entryAddress(0), false))
 }
