--- a/internal/state/bounds_bench_test.go
+++ b/internal/state/bounds_bench_test.go
@@ -10,7 +10,7 @@
 	v1 "github.com/martenstage/martenstage/internal/gen/martenstage/v1"
 )
 
-// fullMachine returns a state that holds about as much as its bounds allow.
+// fullMachine returns a machine filled to about its default limits.
 func fullMachine(b *testing.B) *Machine {
 	limits := DefaultLimits()
 	machine := New(limits)
@@ -33,13 +33,13 @@
 		}, machine.now, limits)
 	}
 	for number := range limits.ClaimIDs - len(machine.claims.live) {
-		machine.claims.addTombstone(tombstone{id: hashID(fmt.Sprint(number)), forget: machine.now + int64(number)*30})
+		machine.claims.addTombstone(tombstone{id: hashID(fmt.Sprint(number)), removeAt: machine.now + int64(number)*30})
 	}
 	return machine
 }
 
-// BenchmarkSnapshotAtBounds measures size and time of a snapshot of a state
-// that is as large as its bounds allow, and of its restoration.
+// BenchmarkSnapshotAtBounds measures the size of a snapshot of a state at its
+// limits, and the time to write and to restore it.
 func BenchmarkSnapshotAtBounds(b *testing.B) {
 	machine := fullMachine(b)
 	var data []byte
@@ -60,7 +60,7 @@
 		len(machine.changes.order), len(machine.claims.live), len(machine.claims.tombstones), len(machine.journal.all()))
 }
 
-// BenchmarkIDSet fills the set of expired ids up to its bound, beside a map.
+// BenchmarkIDSet compares idSet with a map, both filled to Limits.ClaimIDs.
 func BenchmarkIDSet(b *testing.B) {
 	hashes := make([]idHash, DefaultLimits().ClaimIDs)
 	for index := range hashes {
--- a/internal/state/chain.go
+++ b/internal/state/chain.go
@@ -8,53 +8,54 @@
 	v1 "github.com/martenstage/martenstage/internal/gen/martenstage/v1"
 )
 
-// Formats of the state. A format says what commands may hold and which bounds
-// hold, so that voters of two versions of the program, which apply the same
-// log, keep equal states: the change from one to the next is a command too.
+// Formats of the state. A format defines which fields commands may carry and
+// which limits apply. Voters that run different program versions apply the same
+// log and must reach equal states, so the format is raised by a command.
 const (
-	// formatWhole: each revision is submitted and kept whole.
-	formatWhole uint32 = 1
-	// formatDeltas: a revision may be the difference from the one before.
+	// formatFullText stores the full text and plan of every revision.
+	formatFullText uint32 = 1
+	// formatDeltas allows a revision to be stored as a delta from its predecessor.
 	formatDeltas uint32 = 2
-	// LatestFormat is the newest format that this program knows.
+	// LatestFormat is the newest format that this program supports.
 	LatestFormat = formatDeltas
 )
 
 // Format returns the format of the state.
 func (m *Machine) Format() uint32 { return m.format }
 
-// applyFormat raises the format. It never goes back, since a program that knew
-// only the old one could not read what was committed under the new one.
+// applyFormat raises the format. It never lowers it, because a program that
+// supports only the old format cannot read commands committed under the new one.
 func (m *Machine) applyFormat(command *v1.FormatCommand) error {
 	if command.GetFormat() > LatestFormat {
-		return errors.Newf("the state is of format %d, this program knows up to %d", command.GetFormat(), LatestFormat)
+		return errors.Newf("state format %d is newer than the latest supported format %d", command.GetFormat(), LatestFormat)
 	}
 	m.format = max(m.format, command.GetFormat())
 	return nil
 }
 
-// texts is how many revisions may keep their text. Texts leave by whole chains,
-// so that a chain more than Revisions keeps at least Revisions of them.
-func (m *Machine) texts() int {
+// maxTexts returns how many revisions may keep their text. Texts are dropped one
+// chain at a time, so allowing one chain more than Limits.Revisions keeps the
+// text of at least Limits.Revisions revisions.
+func (m *Machine) maxTexts() int {
 	if m.format < formatDeltas {
 		return m.limits.Texts
 	}
 	return m.limits.Revisions + m.limits.ChainLength
 }
 
-// DeltaFits reports whether a revision after the latest one may be submitted as
-// differences of a number of bytes. The answer holds for as long as the latest
-// revision is the latest: what leads to it is not touched by anything else.
+// DeltaFits reports whether the next revision may be submitted as deltas of the
+// given sizes. The result stays valid until another revision is accepted, because
+// nothing else changes the chain that the latest revision is rebuilt from.
 func (m *Machine) DeltaFits(textBytes, planBytes int) bool {
 	latest := m.config.latest()
 	if m.format < formatDeltas || latest.Number == 0 || latest.TextDropped {
 		return false
 	}
-	whole, deltas, _ := m.TextChain(latest.Number)
-	// A chain is at most twice as large as its whole text, or by ChainBytes
-	// larger, so that TextBytes holds even if one chain is all that is kept.
+	full, deltas, _ := m.TextChain(latest.Number)
+	// The deltas of a chain take at most the size of its full text, or ChainBytes
+	// if that is more, so TextBytes holds even if only one chain is kept.
 	return len(deltas) < m.limits.ChainLength &&
-		totalSize(deltas)+textBytes <= max(len(whole), m.limits.ChainBytes) &&
+		totalSize(deltas)+textBytes <= max(len(full), m.limits.ChainBytes) &&
 		totalSize(m.config.planDeltas)+planBytes <= max(len(m.config.plan), m.limits.ChainBytes)
 }
 
@@ -66,11 +67,11 @@
 	return total
 }
 
-// refuseDelta says why a change can't be taken as differences, or "". The leader
-// asked DeltaFits of the same revision, since the comparison of the expected
-// revision has passed; so a refusal means a faulty leader. It is the same on all
-// voters, because it depends on nothing but their equal states.
-func (m *Machine) refuseDelta(command *v1.ChangeCommand) string {
+// deltaRefusal returns why a change can't be applied as deltas, or "" if it can.
+// The expected revision has matched, so the leader has checked DeltaFits against
+// the same revision and a refusal indicates a faulty leader. All voters refuse
+// alike, since the result depends only on the replicated state.
+func (m *Machine) deltaRefusal(command *v1.ChangeCommand) string {
 	switch {
 	case len(command.GetTextDelta()) == 0 && len(command.GetPlanDelta()) == 0:
 		return ""
@@ -83,8 +84,8 @@
 	}
 }
 
-// takePlan keeps the plan of an accepted change.
-func (c *configuration) takePlan(command *v1.ChangeCommand) {
+// setPlan stores the plan, or the plan delta, of an accepted change.
+func (c *configuration) setPlan(command *v1.ChangeCommand) {
 	if delta := command.GetPlanDelta(); len(delta) > 0 {
 		c.planDeltas = append(c.planDeltas, delta)
 		return
@@ -92,31 +93,31 @@
 	c.plan, c.planDeltas = command.GetCompressedPlan(), nil
 }
 
-// dropOldestChain drops the oldest whole text that is kept, with the differences
-// that build on it. It returns false when the latest revision is one of them.
+// dropOldestChain drops the oldest full text that is kept, with the deltas based
+// on it. It drops nothing and returns false if that chain contains the latest
+// revision.
 func (c *configuration) dropOldestChain() bool {
-	first := len(c.revisions) - c.withText
-	after := first + 1
-	for after < len(c.revisions) && c.revisions[after].isDelta() {
-		after++
+	first := len(c.revisions) - c.textCount
+	end := first + 1
+	for end < len(c.revisions) && c.revisions[end].isDelta() {
+		end++
 	}
-	if after == len(c.revisions) {
+	if end == len(c.revisions) {
 		return false
 	}
-	for index := first; index < after; index++ {
+	for index := first; index < end; index++ {
 		revision := &c.revisions[index]
 		c.textBytes -= revision.textSize()
 		revision.CompressedText, revision.TextDelta, revision.TextDropped = nil, nil, true
 	}
-	c.withText -= after - first
+	c.textCount -= end - first
 	return true
 }
 
-// TextChain returns what the text of a revision is rebuilt from: a whole text as
-// it was submitted, and the differences that lead from it to the revision's
-// (textdelta.Rebuild), at most Limits.ChainLength. It returns false when the
-// text is not kept. The caller must not change them.
-func (m *Machine) TextChain(number uint64) (whole []byte, deltas [][]byte, kept bool) {
+// TextChain returns the full text and the deltas, at most Limits.ChainLength, from
+// which textdelta.Rebuild restores the text of a revision. It returns false if the
+// text is no longer kept. The caller must not modify the returned slices.
+func (m *Machine) TextChain(number uint64) (full []byte, deltas [][]byte, kept bool) {
 	revision, found := m.Revision(number)
 	if !found || revision.TextDropped {
 		return nil, nil, false
--- a/internal/state/chain_test.go
+++ b/internal/state/chain_test.go
@@ -15,7 +15,8 @@
 	"github.com/martenstage/martenstage/internal/textdelta"
 )
 
-// chainLimits make every bound of texts bite within a short run.
+// chainLimits returns limits small enough that a short test reaches every bound on
+// texts.
 func chainLimits() Limits {
 	limits := smallLimits()
 	limits.Revisions, limits.Texts, limits.TextBytes = 12, 3, 1500
@@ -27,8 +28,8 @@
 	return &v1.StateCommand{Body: &v1.StateCommand_Format{Format: &v1.FormatCommand{Format: format}}}
 }
 
-// submit makes the change as a leader does: as differences when they fit. Texts
-// and plans are not compressed, and the plan stands for itself.
+// submit applies a change as a leader does, with deltas if they fit. Texts are not
+// compressed, and the text also serves as the plan.
 func (h *harness) submit(id, base, text string) ChangeResult {
 	command := &v1.ChangeCommand{
 		ChangeId: id, ExpectedRevision: h.machine.Latest().Number, RequestHash: ApplyHash(text, 0),
@@ -43,22 +44,22 @@
 	return h.apply(&v1.StateCommand{Body: &v1.StateCommand_Change{Change: command}}).Change
 }
 
-// text rebuilds the text of a revision.
-func (h *harness) text(number uint64) (string, bool) {
-	whole, deltas, kept := h.machine.TextChain(number)
+// rebuildText rebuilds the text of a revision and reports whether it is kept.
+func (h *harness) rebuildText(number uint64) (string, bool) {
+	full, deltas, kept := h.machine.TextChain(number)
 	if !kept {
 		return "", false
 	}
 	require.LessOrEqual(h.t, len(deltas), h.machine.limits.ChainLength)
-	text, err := textdelta.Rebuild(whole, deltas)
+	text, err := textdelta.Rebuild(full, deltas)
 	require.NoError(h.t, err)
 	return string(text), true
 }
 
-// TestHistoryOfDifferences submits any sequence of texts, with restarts and the
-// change of the format at any moment: every text that is kept comes back byte for
-// byte, so does the plan, and no bound is exceeded.
-func TestHistoryOfDifferences(t *testing.T) {
+// TestDeltaHistoryIsRebuilt submits random sequences of texts, with restarts and the
+// change of format at random points. It checks that every kept text and the plan
+// are rebuilt byte for byte and that no bound is exceeded.
+func TestDeltaHistoryIsRebuilt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness(t, chainLimits())
 		var texts []string // by accepted revision
@@ -84,7 +85,7 @@
 	})
 }
 
-// requireTexts compares what is kept with all accepted texts.
+// requireTexts checks the bounds and compares the kept texts with the accepted ones.
 func (h *harness) requireTexts(texts []string) {
 	config, limits := &h.machine.config, h.machine.limits
 	largest := 0
@@ -96,20 +97,20 @@
 	require.LessOrEqual(h.t, totalSize(config.planDeltas), max(len(config.plan), limits.ChainBytes))
 	kept := 0
 	for index, want := range texts {
-		got, found := h.text(uint64(index + 1))
+		got, found := h.rebuildText(uint64(index + 1))
 		if found {
 			kept++
 			require.Equal(h.t, want, got, "revision %d", index+1)
 		}
 	}
-	require.Equal(h.t, config.withText, kept)
+	require.Equal(h.t, config.textCount, kept)
 	if len(texts) == 0 {
 		return
 	}
 	plan, err := textdelta.Rebuild(h.machine.CompressedPlan(), h.machine.PlanDeltas())
 	require.NoError(h.t, err)
 	require.Equal(h.t, texts[len(texts)-1], string(plan))
-	_, latestKept := h.text(uint64(len(texts)))
+	_, latestKept := h.rebuildText(uint64(len(texts)))
 	require.True(h.t, latestKept)
 	for _, listed := range h.machine.History(len(texts)) {
 		require.Empty(h.t, listed.CompressedText)
@@ -117,9 +118,9 @@
 	}
 }
 
-// TestDifferencesNeedTheFormat checks that nothing of the second format is taken
-// or written before the format is raised, and that it is never lowered.
-func TestDifferencesNeedTheFormat(t *testing.T) {
+// TestDeltasRequireFormat2 checks that deltas are neither accepted nor written to a
+// snapshot before the format is raised, and that the format is never lowered.
+func TestDeltasRequireFormat2(t *testing.T) {
 	h := newHarness(t, chainLimits())
 	h.submit("one", "", "text\n")
 	require.False(t, h.machine.DeltaFits(0, 0))
@@ -133,10 +134,10 @@
 	require.Equal(t, invalid, change("early").Result)
 	before, err := h.machine.Snapshot()
 	require.NoError(t, err)
-	require.EqualValues(t, formatWhole, before[len(snapshotMagic)])
+	require.EqualValues(t, formatFullText, before[len(snapshotMagic)])
 
 	h.apply(formatCommand(formatDeltas))
-	h.apply(formatCommand(formatWhole))
+	h.apply(formatCommand(formatFullText))
 	require.Equal(t, formatDeltas, h.machine.Format())
 	require.Equal(t, accepted, change("late").Result)
 	require.Equal(t, invalid, change("early").Result, "a resend gets the first answer")
@@ -151,9 +152,9 @@
 	require.ErrorContains(t, err, "format 3")
 }
 
-// TestRacingDifferences submits two changes against one revision, both as
-// differences: the second is refused and touches neither text nor plan.
-func TestRacingDifferences(t *testing.T) {
+// TestConcurrentDeltas submits two changes against the same revision, both as
+// deltas. The second must be refused and change neither text nor plan.
+func TestConcurrentDeltas(t *testing.T) {
 	h := newHarness(t, chainLimits())
 	h.apply(formatCommand(LatestFormat))
 	h.submit("one", "", "text\n")
@@ -168,9 +169,9 @@
 	h.requireTexts([]string{"text\n", "text\nfirst\n"})
 }
 
-// TestDifferenceWithoutItsTextIsDamage damages a snapshot so that a difference
-// has lost the text that it builds on.
-func TestDifferenceWithoutItsTextIsDamage(t *testing.T) {
+// TestRestoreRejectsDeltaWithoutBase corrupts a snapshot so that it contains a delta
+// but not the text that the delta is based on.
+func TestRestoreRejectsDeltaWithoutBase(t *testing.T) {
 	h := newHarness(t, chainLimits())
 	h.apply(formatCommand(LatestFormat))
 	h.submit("one", "", "text\n")
@@ -182,15 +183,16 @@
 	require.ErrorContains(t, New(chainLimits()).Restore(snapshot), "revision 2 as the difference from a text")
 }
 
-// serverLine is a line of a configuration; all have the same length.
+// serverLine returns a configuration line for a server; all have the same length.
 func serverLine(network, server int) string {
 	return fmt.Sprintf("\t\t\treplica 127.%03d.%03d.%03d:9 zone zone-%02d\n", network, server>>8, server&0xff, server%26)
 }
 
-// TestTenThousandRevisionsAreKept submits as many texts of a large configuration,
-// each with one line changed, as the history is said to hold: all come back.
+// TestTenThousandRevisionsAreKept submits Limits.Revisions texts of a large
+// configuration, each with one line changed, and checks that samples of all of them
+// can be rebuilt.
 func TestTenThousandRevisionsAreKept(t *testing.T) {
-	// The text has as many bytes as that of 57,000 servers when it is compressed.
+	// The uncompressed text is as large as the compressed text of 57,000 servers.
 	const servers, spotChecks, step = 7_700, 40, 7919
 	limits := DefaultLimits()
 	h := newHarness(t, limits)
@@ -220,16 +222,16 @@
 	h.reload()
 	require.LessOrEqual(t, h.machine.config.textBytes, limits.TextBytes)
 	for number, want := range checked {
-		got, kept := h.text(number)
+		got, kept := h.rebuildText(number)
 		require.True(t, kept, "revision %d", number)
 		require.True(t, string(want) == got, "revision %d", number)
 	}
-	t.Logf("%d revisions with text in %d bytes, of %d", h.machine.config.withText, h.machine.config.textBytes, limits.TextBytes)
+	t.Logf("%d revisions with text in %d bytes, of %d", h.machine.config.textCount, h.machine.config.textBytes, limits.TextBytes)
 }
 
-// TestSnapshotOfDifferencesIsReadable restores the committed snapshot of format
-// version 2, and writes it again byte for byte.
-func TestSnapshotOfDifferencesIsReadable(t *testing.T) {
+// TestDeltaSnapshotIsReadable restores the snapshot of version 2 in testdata and
+// checks that it is written again byte for byte.
+func TestDeltaSnapshotIsReadable(t *testing.T) {
 	path := filepath.Join("testdata", "snapshot-v2.bin")
 	texts := []string{"a\nb\nc\n", "a\nchanged\nc\n", "a\nchanged\nc\nd\n"}
 	if *writeGolden {
--- a/internal/state/changes.go
+++ b/internal/state/changes.go
@@ -6,17 +6,18 @@
 	v1 "github.com/martenstage/martenstage/internal/gen/martenstage/v1"
 )
 
-// ChangeResult is the decision on one change. It is remembered under the change
-// id, and a resent change gets it again.
+// ChangeResult is the decision on one change. It is stored under the change id
+// and returned again when the change is resent.
 type ChangeResult struct {
 	Result v1.ApplyResult
-	// Revision is the accepted one, otherwise the latest at the decision.
+	// Revision is the accepted revision, or the latest one if the change was
+	// refused.
 	Revision     uint64
 	WinnerAuthor string
 	Detail       string
 }
 
-// changeResult is a remembered decision.
+// changeResult is a stored decision.
 type changeResult struct {
 	id   string
 	hash []byte
@@ -24,14 +25,14 @@
 	ChangeResult
 }
 
-// changeResults remembers decisions by change id, oldest first.
+// changeResults stores decisions by change id and in order of time, oldest first.
 type changeResults struct {
 	byID  map[string]*changeResult
 	order []*changeResult
 	bytes int
 }
 
-// changeOverhead is what a decision takes besides its texts, in bytes.
+// changeOverhead is the size of a decision without its strings, in bytes.
 const changeOverhead = 64
 
 func (r *changeResult) size() int {
@@ -42,9 +43,9 @@
 	return changeResults{byID: map[string]*changeResult{}}
 }
 
-func (c *changeResults) remember(id string, hash []byte, result ChangeResult, now int64, limits Limits) {
+func (c *changeResults) record(id string, hash []byte, result ChangeResult, now int64, limits Limits) {
 	c.add(&changeResult{id: id, hash: hash, time: now, ChangeResult: result})
-	c.forget(now, limits)
+	c.evict(now, limits)
 }
 
 func (c *changeResults) add(result *changeResult) {
@@ -53,10 +54,11 @@
 	c.bytes += result.size()
 }
 
-// forget drops decisions beyond the limits.
-func (c *changeResults) forget(now int64, limits Limits) {
-	oldest := now - limits.ChangeAge.Milliseconds()
-	for len(c.order) > 1 && (len(c.order) > limits.Changes || c.bytes > limits.ChangeBytes || c.order[0].time < oldest) {
+// evict removes the oldest decisions until the limits hold, but keeps at least
+// one.
+func (c *changeResults) evict(now int64, limits Limits) {
+	cutoff := now - limits.ChangeAge.Milliseconds()
+	for len(c.order) > 1 && (len(c.order) > limits.Changes || c.bytes > limits.ChangeBytes || c.order[0].time < cutoff) {
 		c.bytes -= c.order[0].size()
 		delete(c.byID, c.order[0].id)
 		c.order[0] = nil
@@ -65,7 +67,7 @@
 }
 
 // ChangeResult returns the first decision on a change id. A decision never
-// changes, so any voter that knows it may answer. Another request under the
+// changes, so any voter that has it may return it. A different request under the
 // same id gets APPLY_RESULT_CHANGE_ID_REUSED.
 func (m *Machine) ChangeResult(id string, requestHash []byte) (ChangeResult, bool) {
 	first, known := m.changes.byID[id]
--- a/internal/state/claims.go
+++ b/internal/state/claims.go
@@ -10,9 +10,9 @@
 	v1 "github.com/martenstage/martenstage/internal/gen/martenstage/v1"
 )
 
-// abandonedCallMemory is how long the settlement of a claim that never arrived
-// is remembered, so that the late claim call isn't granted to nobody.
-const abandonedCallMemory = 10 * time.Minute
+// abandonedCallRetention is how long a settlement that arrives before its claim
+// call is kept, so that the late call is not granted after its caller gave up.
+const abandonedCallRetention = 10 * time.Minute
 
 // ClaimResult is the decision on one claim.
 type ClaimResult uint8
@@ -21,44 +21,47 @@
 const (
 	// ClaimNone is the result of a settlement.
 	ClaimNone ClaimResult = iota
-	// ClaimGranted lets the call dispatch the request.
+	// ClaimGranted allows the call to dispatch the request.
 	ClaimGranted
-	// ClaimMayHaveRun refuses: another call holds the claim.
+	// ClaimMayHaveRun refuses the claim because another call holds it, or because
+	// the call is a late copy of one that has released it.
 	ClaimMayHaveRun
-	// ClaimRan refuses: the request ran.
+	// ClaimRan refuses the claim because the request has run.
 	ClaimRan
-	// ClaimExpired refuses: the id was claimed before and has expired.
+	// ClaimExpired refuses the claim because an earlier claim of the id, or the
+	// caller's own deadline for it, has expired.
 	ClaimExpired
-	// ClaimDigestMismatch refuses: the id belongs to another body.
+	// ClaimDigestMismatch refuses the claim because the id was claimed with a
+	// different request body.
 	ClaimDigestMismatch
-	// ClaimsFull refuses: no more ids can be remembered, or not for as long as
-	// the caller's own expiry asks. Nothing was recorded.
+	// ClaimsFull refuses the claim because a limit on stored claims is reached or
+	// the caller's expiry is later than ClaimExpiry allows. Nothing is recorded.
 	ClaimsFull
 )
 
-// claim is one id before its expiry.
+// claim is the claim of one request id that has not expired.
 type claim struct {
-	id       string
-	digest   string
-	holder   string
-	call     uint64
-	expires  int64 // Unix milliseconds
-	stage    v1.ClaimStage
-	absolute bool // the caller gave the expiry
-	position int  // in the heap of expiries
+	id        string
+	digest    string
+	holder    string
+	call      uint64
+	expires   int64 // Unix milliseconds
+	stage     v1.ClaimStage
+	absolute  bool // the caller set the expiry as a point in time
+	heapIndex int  // in claims.expiries
 }
 
 func (c *claim) heldBy(operation *v1.ClaimOperation) bool {
 	return c.holder == operation.GetHolder() && c.call == operation.GetCall()
 }
 
-// claimOverhead is what a claim takes besides its texts, in bytes.
+// claimOverhead is the size of a claim without its strings, in bytes.
 const claimOverhead = 64
 
 func (c *claim) size() int { return claimOverhead + len(c.id) + len(c.digest) + len(c.holder) }
 
-// idHash is the first 8 bytes of the SHA-256 of a request id. Two ids with the
-// same hash would make the second one look expired, never run twice.
+// idHash is the first 8 bytes of the SHA-256 of a request id. On a collision the
+// second id is refused as expired; no request runs twice.
 type idHash uint64
 
 func hashID(id string) idHash {
@@ -66,26 +69,27 @@
 	return idHash(binary.BigEndian.Uint64(sum[:]))
 }
 
+// tombstone marks the id of an expired claim until it is removed.
 type tombstone struct {
-	id     idHash
-	forget int64 // Unix milliseconds
+	id       idHash
+	removeAt int64 // Unix milliseconds
 }
 
-// claims holds live claims, and tombstones of expired ones. An id moves from
-// the first to the second at its expiry and is forgotten ClaimMemory later.
+// claims holds live claims and the tombstones of expired ones. A claim becomes a
+// tombstone at its expiry, and the tombstone is removed ClaimRetention later.
 type claims struct {
 	live       map[string]*claim
 	liveBytes  int
 	expiries   expiryHeap
 	tombstoned idSet
-	tombstones []tombstone // by forget
+	tombstones []tombstone // in order of removeAt
 }
 
 func newClaims() claims {
 	return claims{live: map[string]*claim{}, tombstoned: newIDSet(0)}
 }
 
-// claim decides one claim call.
+// claim decides a claim call and records the claim if it is granted.
 func (c *claims) claim(operation *v1.ClaimOperation, now int64, limits Limits) ClaimResult {
 	id := operation.GetRequestId()
 	if notAfter := operation.GetNotAfterUnixMs(); notAfter != 0 {
@@ -115,7 +119,7 @@
 	return ClaimGranted
 }
 
-// decide answers a claim call for an id that is known.
+// decide returns the decision on a claim call for an id that has a live claim.
 func (c *claim) decide(operation *v1.ClaimOperation) ClaimResult {
 	if c.digest != "" && c.digest != operation.GetDigest() {
 		return ClaimDigestMismatch
@@ -125,8 +129,8 @@
 	case v1.ClaimStage_CLAIM_STAGE_RAN:
 		return ClaimRan
 	case v1.ClaimStage_CLAIM_STAGE_RELEASED:
-		// The call that gave the claim back has no dispatch to come, so a late
-		// copy of it must not take the claim again.
+		// The call that released the claim will not dispatch any more, so a late
+		// copy of it must not acquire the claim again.
 		if resent {
 			return ClaimMayHaveRun
 		}
@@ -156,7 +160,7 @@
 	}
 }
 
-// settle records the outcome of a claim for the call that holds it.
+// settle records the outcome of a claim if the call holds it.
 func (c *claims) settle(operation *v1.ClaimOperation, now int64, limits Limits) {
 	id := operation.GetRequestId()
 	existing, known := c.live[id]
@@ -165,7 +169,7 @@
 	case !known && notRun:
 		c.abandon(operation, now, limits)
 	case !known || !existing.heldBy(operation) || existing.stage != v1.ClaimStage_CLAIM_STAGE_HELD:
-		// A settlement of another call, or a late copy of an earlier one.
+		// Ignore a settlement by another call and a late copy of an earlier one.
 	case notRun:
 		existing.stage = v1.ClaimStage_CLAIM_STAGE_RELEASED
 	default:
@@ -173,7 +177,7 @@
 	}
 }
 
-// abandon records that a call will not use a claim that has not arrived yet.
+// abandon records that a call, whose claim has not arrived yet, will not use it.
 func (c *claims) abandon(operation *v1.ClaimOperation, now int64, limits Limits) {
 	id := operation.GetRequestId()
 	expired := c.tombstoned.has(hashID(id))
@@ -181,7 +185,7 @@
 		id:      id,
 		holder:  operation.GetHolder(),
 		call:    operation.GetCall(),
-		expires: now + abandonedCallMemory.Milliseconds(),
+		expires: now + abandonedCallRetention.Milliseconds(),
 		stage:   v1.ClaimStage_CLAIM_STAGE_RELEASED,
 	}
 	if !expired && operation.GetCall() != 0 && !c.full(abandoned, limits) {
@@ -189,13 +193,13 @@
 	}
 }
 
-// full reports whether a further claim can't be remembered up to its end. An
-// absolute expiry needs no memory after that moment.
-func (c *claims) full(further *claim, limits Limits) bool {
-	if c.liveBytes+further.size() > limits.ClaimBytes {
+// full reports whether there is no capacity for another claim and its tombstone.
+// A claim with an absolute expiry needs no tombstone.
+func (c *claims) full(candidate *claim, limits Limits) bool {
+	if c.liveBytes+candidate.size() > limits.ClaimBytes {
 		return true
 	}
-	return !further.absolute && len(c.live)+len(c.tombstones) >= limits.ClaimIDs
+	return !candidate.absolute && len(c.live)+len(c.tombstones) >= limits.ClaimIDs
 }
 
 func (c *claims) put(value *claim) {
@@ -207,16 +211,16 @@
 func (c *claims) remove(value *claim) {
 	delete(c.live, value.id)
 	c.liveBytes -= value.size()
-	heap.Remove(&c.expiries, value.position)
+	heap.Remove(&c.expiries, value.heapIndex)
 }
 
-// expire turns claims whose time is over into tombstones, and forgets
-// tombstones whose own time is over.
+// expire turns expired claims into tombstones and removes tombstones whose
+// retention has ended.
 func (c *claims) expire(now int64, limits Limits) {
 	for len(c.expiries) > 0 && c.expiries[0].expires <= now {
 		c.expireOne(c.expiries[0], limits)
 	}
-	for len(c.tombstones) > 0 && c.tombstones[0].forget <= now {
+	for len(c.tombstones) > 0 && c.tombstones[0].removeAt <= now {
 		c.tombstoned.remove(c.tombstones[0].id)
 		c.tombstones = c.tombstones[1:]
 	}
@@ -225,12 +229,12 @@
 func (c *claims) expireOne(value *claim, limits Limits) {
 	c.remove(value)
 	if value.stage == v1.ClaimStage_CLAIM_STAGE_RELEASED {
-		return // proved not run: nothing to remember
+		return // the request did not run, so a new claim of its id is safe
 	}
 	if value.absolute && len(c.live)+len(c.tombstones) >= limits.ClaimIDs {
-		return // the caller's own expiry refuses it from now on
+		return // later claims repeat the expiry and are refused because of it
 	}
-	c.addTombstone(tombstone{id: hashID(value.id), forget: value.expires + limits.ClaimMemory.Milliseconds()})
+	c.addTombstone(tombstone{id: hashID(value.id), removeAt: value.expires + limits.ClaimRetention.Milliseconds()})
 }
 
 func (c *claims) addTombstone(value tombstone) {
@@ -238,8 +242,7 @@
 	c.tombstones = append(c.tombstones, value)
 }
 
-// ClaimCounts returns how many claims are live and how many expired ids are
-// remembered.
+// ClaimCounts returns the number of live claims and of tombstones.
 func (m *Machine) ClaimCounts() (live, expired int) {
 	return len(m.claims.live), len(m.claims.tombstones)
 }
@@ -254,13 +257,13 @@
 }
 func (h expiryHeap) Swap(left, right int) {
 	h[left], h[right] = h[right], h[left]
-	h[left].position, h[right].position = left, right
+	h[left].heapIndex, h[right].heapIndex = left, right
 }
 
 // Push implements heap.Interface.
 func (h *expiryHeap) Push(value any) {
 	added := value.(*claim)
-	added.position = len(*h)
+	added.heapIndex = len(*h)
 	*h = append(*h, added)
 }
 
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -11,16 +11,17 @@
 	v1 "github.com/martenstage/martenstage/internal/gen/martenstage/v1"
 )
 
-// Encode stamps a command with the leader's time and encodes it for the log.
+// Encode sets the command's timestamp to the leader's time and encodes the command
+// for the log.
 func Encode(now time.Time, command *v1.StateCommand) ([]byte, error) {
 	command.TimeUnixMs = now.UnixMilli()
 	data, err := proto.Marshal(command)
 	return data, errors.Wrap(err, "encode state command")
 }
 
-// ApplyHash is the request hash of a submitted configuration. Only what the
-// operator asks for counts, not what it was written against: a program that
-// resends a change may meanwhile know a newer revision.
+// ApplyHash returns the request hash of a submitted configuration or rollback. The
+// expected revision is not part of it, because a client that resends a change may
+// have read a newer revision in the meantime.
 func ApplyHash(text string, rollbackTo uint64) []byte {
 	hash := sha256.New()
 	if rollbackTo != 0 {
@@ -28,8 +29,8 @@
 		return hash.Sum(nil)
 	}
 	hash.Write([]byte("text "))
-	// A text is copied block by block: a copy of the whole would be as large as
-	// a site's configuration.
+	// The text is hashed in blocks, because converting it at once would copy the
+	// entire configuration of a site.
 	const blockBytes = 32 << 10
 	block := make([]byte, blockBytes)
 	for text != "" {
--- a/internal/state/configuration.go
+++ b/internal/state/configuration.go
@@ -8,38 +8,39 @@
 	eventjournal "github.com/martenstage/martenstage/internal/journal"
 )
 
-// Revision is one accepted configuration. Numbers start at 1 and go up by one.
+// Revision is one accepted configuration. Numbers start at 1 and are consecutive.
 type Revision struct {
 	Number   uint64
 	ChangeID string
 	Author   string
 	Comment  string
 	Accepted time.Time
-	// CompressedText is the whole text, or TextDelta its difference from that of
-	// the revision before. Both are empty when TextDropped is set. The machine
-	// does not look into them; see Machine.TextChain.
+	// CompressedText is the full text, or else TextDelta is the delta from the text
+	// of the previous revision. Both are empty if TextDropped is set. The machine
+	// does not decode them; see Machine.TextChain.
 	CompressedText []byte
 	TextDelta      []byte
 	TextDropped    bool
-	// RollbackOf is the revision whose text was taken again, or 0.
+	// RollbackOf is the revision whose text this one restores, or 0.
 	RollbackOf uint64
 }
 
-// isDelta reports whether the text is kept as a difference.
+// isDelta reports whether the text is stored as a delta.
 func (r *Revision) isDelta() bool { return len(r.TextDelta) > 0 }
 
 func (r *Revision) textSize() int { return len(r.CompressedText) + len(r.TextDelta) }
 
-// configuration is the history, oldest first, and the plan of its last entry.
+// configuration holds the history, oldest first, and the plan of the latest
+// revision.
 type configuration struct {
 	revisions []Revision
-	// plan is the compressed plan of the last whole revision, planDeltas lead
-	// from it to that of the last entry.
+	// plan is the compressed plan of the last revision submitted in full;
+	// planDeltas lead from it to the plan of the latest revision.
 	plan       []byte
 	planDeltas [][]byte
-	// withText counts the newest revisions that keep their text, textBytes is
-	// their size.
-	withText  int
+	// textCount is the number of newest revisions that keep their text or delta,
+	// textBytes the total size of these.
+	textCount int
 	textBytes int
 }
 
@@ -50,34 +51,35 @@
 	return c.revisions[len(c.revisions)-1]
 }
 
-// append adds a revision; texts is how many revisions may keep their text.
-func (c *configuration) append(revision Revision, texts int, limits Limits) {
+// append adds a revision and drops old texts and revisions beyond the limits;
+// maxTexts is how many revisions may keep their text.
+func (c *configuration) append(revision Revision, maxTexts int, limits Limits) {
 	c.revisions = append(c.revisions, revision)
-	c.withText++
+	c.textCount++
 	c.textBytes += revision.textSize()
-	for c.withText > texts || c.textBytes > limits.TextBytes {
+	for c.textCount > maxTexts || c.textBytes > limits.TextBytes {
 		if !c.dropOldestChain() {
 			break
 		}
 	}
-	if excess := len(c.revisions) - max(limits.Revisions, c.withText); excess > 0 {
+	if excess := len(c.revisions) - max(limits.Revisions, c.textCount); excess > 0 {
 		c.revisions = append([]Revision(nil), c.revisions[excess:]...)
 	}
 }
 
-// Latest returns the newest revision; its number is 0 on an empty history.
+// Latest returns the newest revision, or the zero Revision if there is none.
 func (m *Machine) Latest() Revision { return m.config.latest() }
 
-// CompressedPlan returns the plan of the last revision that was submitted
-// whole; PlanDeltas lead from it to that of the latest one. The caller must not
-// change it.
+// CompressedPlan returns the plan of the last revision that was submitted in
+// full; PlanDeltas lead from it to the plan of the latest revision. The caller
+// must not modify it.
 func (m *Machine) CompressedPlan() []byte { return m.config.plan }
 
-// PlanDeltas returns the encoded plan deltas of the revisions since the last
-// one that was submitted whole. The caller must not change them.
+// PlanDeltas returns the encoded plan deltas of the revisions after the last one
+// that was submitted in full. The caller must not modify them.
 func (m *Machine) PlanDeltas() [][]byte { return m.config.planDeltas }
 
-// Revision returns a revision by number, and whether it is still kept.
+// Revision returns a revision by number and whether it is still kept.
 func (m *Machine) Revision(number uint64) (Revision, bool) {
 	if len(m.config.revisions) == 0 || number < m.config.revisions[0].Number {
 		return Revision{}, false
@@ -101,14 +103,14 @@
 	return history
 }
 
-// applyChange decides a submitted configuration: it is accepted only when the
-// latest revision is the one that it was written against.
+// applyChange decides on a submitted configuration. It is accepted only if the
+// latest revision is the expected one (compare-and-set).
 func (m *Machine) applyChange(command *v1.ChangeCommand) ChangeResult {
 	if first, known := m.ChangeResult(command.GetChangeId(), command.GetRequestHash()); known {
 		return first
 	}
 	result := m.decideChange(command)
-	m.changes.remember(command.GetChangeId(), command.GetRequestHash(), result, m.now, m.limits)
+	m.changes.record(command.GetChangeId(), command.GetRequestHash(), result, m.now, m.limits)
 	m.recordChange(command, result)
 	return result
 }
@@ -119,9 +121,9 @@
 		return ChangeResult{Result: v1.ApplyResult_APPLY_RESULT_INVALID, Revision: latest.Number, Detail: command.GetInvalid()}
 	}
 	if command.GetExpectedRevision() != latest.Number {
-		return conflict(command.GetExpectedRevision(), latest)
+		return conflictResult(command.GetExpectedRevision(), latest)
 	}
-	if refusal := m.refuseDelta(command); refusal != "" {
+	if refusal := m.deltaRefusal(command); refusal != "" {
 		return ChangeResult{Result: v1.ApplyResult_APPLY_RESULT_INVALID, Revision: latest.Number, Detail: refusal}
 	}
 	revision := Revision{
@@ -134,12 +136,12 @@
 		TextDelta:      command.GetTextDelta(),
 		RollbackOf:     command.GetRollbackOf(),
 	}
-	m.config.takePlan(command)
-	m.config.append(revision, m.texts(), m.limits)
+	m.config.setPlan(command)
+	m.config.append(revision, m.maxTexts(), m.limits)
 	return ChangeResult{Result: v1.ApplyResult_APPLY_RESULT_ACCEPTED, Revision: revision.Number}
 }
 
-func conflict(expected uint64, latest Revision) ChangeResult {
+func conflictResult(expected uint64, latest Revision) ChangeResult {
 	detail := fmt.Sprintf("written against revision %d, but the latest is %d", expected, latest.Number)
 	if latest.Number > 0 {
 		detail += fmt.Sprintf(" by %s (change %s)", latest.Author, latest.ChangeID)
@@ -152,17 +154,17 @@
 	}
 }
 
-// recordChange writes the decision to the journal in the same command, so that
-// no crash can separate the two.
+// recordChange records the decision in the journal as part of the same command,
+// so that a crash cannot leave one without the other.
 func (m *Machine) recordChange(command *v1.ChangeCommand, result ChangeResult) {
 	kind, detail := eventjournal.KindChangeRefused, result.Detail
 	if result.Result == v1.ApplyResult_APPLY_RESULT_ACCEPTED {
 		kind, detail = eventjournal.KindChangeAccepted, fmt.Sprintf("revision %d", result.Revision)
 	}
 	id := "change/" + command.GetChangeId()
-	by := fmt.Sprintf("by %s: ", command.GetAuthor())
-	detail = fmt.Sprintf("%s%s (change %s)", by, detail, command.GetChangeId())
-	if kind == eventjournal.KindChangeRefused && m.journal.repeat(m.Now(), controlSource, string(kind), by) {
+	authorPrefix := fmt.Sprintf("by %s: ", command.GetAuthor())
+	detail = fmt.Sprintf("%s%s (change %s)", authorPrefix, detail, command.GetChangeId())
+	if kind == eventjournal.KindChangeRefused && m.journal.countRepeat(m.Now(), controlSource, string(kind), authorPrefix) {
 		return
 	}
 	m.record(id, kind, "", detail)
--- a/internal/state/drains.go
+++ b/internal/state/drains.go
@@ -12,7 +12,7 @@
 	eventjournal "github.com/martenstage/martenstage/internal/journal"
 )
 
-// Drain is an operator's mark that a back end is leaving.
+// Drain marks a back end that an operator is draining.
 type Drain struct {
 	// Address is the back end's IP address with port.
 	Address string
@@ -33,21 +33,21 @@
 	})
 }
 
-// Drains returns the marks, sorted by address, and a version that goes up with
-// every change of them.
+// Drains returns the drain marks, sorted by address, and a version that increases
+// with every change to them.
 func (m *Machine) Drains() ([]Drain, uint64) { return m.drains.sorted(), m.drains.version }
 
-// DrainsVersion returns the version alone, without the cost of the marks.
+// DrainsVersion returns the version of the drain marks without copying them.
 func (m *Machine) DrainsVersion() uint64 { return m.drains.version }
 
-// DrainHash is the request hash of a drain command.
+// DrainHash returns the request hash of a drain command.
 func DrainHash(address string, draining bool) []byte {
 	sum := sha256.Sum256([]byte("drain " + address + " " + lo.Ternary(draining, "begin", "end")))
 	return sum[:]
 }
 
-// applyDrain sets or removes a mark. Like a change, a resent command gets its
-// first result, so that a late copy can't undo a newer command.
+// applyDrain sets or removes a drain mark. As for changes, a resent command gets
+// its first result, so that a late copy can't undo a newer command.
 func (m *Machine) applyDrain(command *v1.DrainCommand) ChangeResult {
 	hash := DrainHash(command.GetAddress(), command.GetDraining())
 	if first, known := m.ChangeResult(command.GetChangeId(), hash); known {
@@ -58,7 +58,7 @@
 		m.setDrain(command)
 	}
 	result := ChangeResult{Result: v1.ApplyResult_APPLY_RESULT_ACCEPTED, Revision: m.Latest().Number}
-	m.changes.remember(command.GetChangeId(), hash, result, m.now, m.limits)
+	m.changes.record(command.GetChangeId(), hash, result, m.now, m.limits)
 	return result
 }
 
--- a/internal/state/event_log.go
+++ b/internal/state/event_log.go
@@ -13,36 +13,37 @@
 	eventjournal "github.com/martenstage/martenstage/internal/journal"
 )
 
-// joinGap is the longest time between an event and an equal one of the same
-// source that is counted into it. A failure that goes on all night is one event
-// per witness and subject; after a quiet time it is told anew.
-const joinGap = 5 * time.Minute
+// maxMergeGap is the longest time between two equal events of the same source that
+// are merged. A failure that lasts all night is one event per source and subject;
+// if it recurs after a longer gap, it is a new event.
+const maxMergeGap = 5 * time.Minute
 
 // eventLog holds the newest events of one class, oldest first.
 type eventLog struct {
 	events []*v1.Event
-	// arrivals are the numbers of the events in their order of arrival in the
-	// whole journal.
+	// arrivals holds the position of each event in the arrival order of the
+	// journal, across all its logs.
 	arrivals []uint64
 	sizes    []int
 	bytes    int
-	known    map[string]struct{}
-	// latest is the number, counted from the first event ever held, of the
-	// latest event of each sameness.
-	latest  map[eventjournal.Sameness]uint64
-	removed uint64
+	ids      map[string]struct{}
+	// latest maps each equality key to the position of its latest event, counted
+	// from the first event that the log ever held.
+	latest       map[eventjournal.Sameness]uint64
+	removedCount uint64
 }
 
 func newEventLog() eventLog {
-	return eventLog{known: map[string]struct{}{}, latest: map[eventjournal.Sameness]uint64{}}
+	return eventLog{ids: map[string]struct{}{}, latest: map[eventjournal.Sameness]uint64{}}
 }
 
-// insert adds an event as it is and returns how many it pushed out.
+// insert adds an event without merging and returns how many old events it
+// evicted.
 func (l *eventLog) insert(event *v1.Event, arrival uint64, bounds eventBounds) (dropped uint64) {
 	size := proto.Size(event)
-	l.known[event.GetId()] = struct{}{}
-	if _, numbered := numberOf(event.GetId()); numbered {
-		l.latest[eventjournal.SamenessOf(event)] = l.removed + uint64(len(l.events))
+	l.ids[event.GetId()] = struct{}{}
+	if _, sequenced := parseSequencedID(event.GetId()); sequenced {
+		l.latest[eventjournal.SamenessOf(event)] = l.removedCount + uint64(len(l.events))
 	}
 	l.events = append(l.events, event)
 	l.arrivals = append(l.arrivals, arrival)
@@ -55,33 +56,33 @@
 	return dropped
 }
 
-// join counts an event into an equal one that is not long over, and reports
-// whether there is one. Sources number their events and send them in order, so
-// one whose number is not above the last that was counted is a repeated
-// delivery. Events that are named otherwise stay apart.
-func (l *eventLog) join(event *v1.Event) bool {
-	number, numbered := numberOf(event.GetId())
+// merge adds the count of an event to an equal event within maxMergeGap, and
+// reports whether the event needs no entry of its own. Sources number their events
+// and send them in order, so an event whose number is not above the last merged
+// one is a repeated delivery. Events with other ids are not merged.
+func (l *eventLog) merge(event *v1.Event) bool {
+	id, sequenced := parseSequencedID(event.GetId())
 	position, found := l.latest[eventjournal.SamenessOf(event)]
-	if !numbered || !found {
+	if !sequenced || !found {
 		return false
 	}
-	index := position - l.removed
+	index := position - l.removedCount
 	earlier := l.events[index]
-	last, _ := numberOf(lo.CoalesceOrEmpty(earlier.GetLastId(), earlier.GetId()))
-	if number.run == last.run && number.sequence <= last.sequence {
+	last, _ := parseSequencedID(lo.CoalesceOrEmpty(earlier.GetLastId(), earlier.GetId()))
+	if id.incarnation == last.incarnation && id.sequence <= last.sequence {
 		return true
 	}
-	if event.GetTime().AsTime().Sub(lastTimeOf(earlier)) >= joinGap {
+	if event.GetTime().AsTime().Sub(lastTimeOf(earlier)) >= maxMergeGap {
 		return false
 	}
-	// Readers hold the event that is in the list.
-	joined := proto.Clone(earlier).(*v1.Event)
-	joined.Count = max(joined.GetCount(), 1) + max(event.GetCount(), 1)
-	joined.LastId = event.GetId()
-	if lastTimeOf(event).After(lastTimeOf(joined)) {
-		joined.LastTime = timestamppb.New(lastTimeOf(event))
+	// Readers may hold the stored event, so it is replaced and not modified.
+	merged := proto.Clone(earlier).(*v1.Event)
+	merged.Count = max(merged.GetCount(), 1) + max(event.GetCount(), 1)
+	merged.LastId = event.GetId()
+	if lastTimeOf(event).After(lastTimeOf(merged)) {
+		merged.LastTime = timestamppb.New(lastTimeOf(event))
 	}
-	l.replace(int(index), joined)
+	l.replace(int(index), merged)
 	return true
 }
 
@@ -98,38 +99,39 @@
 	return event.GetTime().AsTime()
 }
 
-// eventNumber is an id that a source gave by counting.
-type eventNumber struct {
-	// run names the source and its start.
-	run      string
-	sequence uint64
+// sequencedID is an event id with a sequence number.
+type sequencedID struct {
+	// incarnation is the source with its boot number.
+	incarnation string
+	sequence    uint64
 }
 
-// numberOf reads an id of the form SOURCE/BOOT/SEQUENCE.
-func numberOf(id string) (number eventNumber, numbered bool) {
+// parseSequencedID parses an id of the form SOURCE/BOOT/SEQUENCE.
+func parseSequencedID(id string) (parsed sequencedID, ok bool) {
 	cut := strings.LastIndexByte(id, '/')
 	if cut < 0 {
-		return eventNumber{}, false
+		return sequencedID{}, false
 	}
-	run := id[:cut]
-	boot := run[strings.LastIndexByte(run, '/')+1:]
+	incarnation := id[:cut]
+	boot := incarnation[strings.LastIndexByte(incarnation, '/')+1:]
 	sequence, err := strconv.ParseUint(id[cut+1:], 10, 64)
 	_, bootErr := strconv.ParseUint(boot, 10, 64)
-	return eventNumber{run: run, sequence: sequence}, err == nil && bootErr == nil
+	return sequencedID{incarnation: incarnation, sequence: sequence}, err == nil && bootErr == nil
 }
 
-// Bounds of the search for an event that a repetition counts into.
+// Bounds of the search for an event that countRepeat adds to: its age, and the
+// number of newest events searched.
 const (
-	repeatWindow = time.Minute
-	repeatSearch = 64
+	repeatWindow      = time.Minute
+	repeatSearchDepth = 64
 )
 
-// repeat counts a repetition into an event of the last minute, found by its
-// source, kind and the beginning of its detail, and reports whether there is
-// one. A program that submits refused changes in a loop must not push a
-// night's events out of the journal.
-func (l *eventLog) repeat(now time.Time, source, kind, detailPrefix string) bool {
-	for index := len(l.events) - 1; index >= max(0, len(l.events)-repeatSearch); index-- {
+// countRepeat increments the count of an event of the last minute that has the
+// given source, kind and detail prefix, and reports whether there is one. It keeps
+// a client that submits refused changes in a loop from evicting other events from
+// the journal.
+func (l *eventLog) countRepeat(now time.Time, source, kind, detailPrefix string) bool {
+	for index := len(l.events) - 1; index >= max(0, len(l.events)-repeatSearchDepth); index-- {
 		event := l.events[index]
 		if event.GetSource() != source || event.GetKind() != kind || !strings.HasPrefix(event.GetDetail(), detailPrefix) {
 			continue
@@ -137,7 +139,7 @@
 		if now.Sub(event.GetTime().AsTime()) >= repeatWindow {
 			return false
 		}
-		// Readers hold the event that is in the list.
+		// Readers may hold the stored event, so it is replaced and not modified.
 		counted := proto.Clone(event).(*v1.Event)
 		counted.Count++
 		counted.LastTime = timestamppb.New(now)
@@ -148,28 +150,29 @@
 }
 
 func (l *eventLog) dropOldest() {
-	delete(l.known, l.events[0].GetId())
-	if key := eventjournal.SamenessOf(l.events[0]); l.latest[key] == l.removed {
+	delete(l.ids, l.events[0].GetId())
+	if key := eventjournal.SamenessOf(l.events[0]); l.latest[key] == l.removedCount {
 		delete(l.latest, key)
 	}
-	l.removed++
+	l.removedCount++
 	l.bytes -= l.sizes[0]
 	l.events[0] = nil
 	l.events, l.arrivals, l.sizes = l.events[1:], l.arrivals[1:], l.sizes[1:]
 }
 
-// arrivedEvent is an event with its place in the order of arrival.
-type arrivedEvent struct {
+// orderedEvent is an event with its position in the journal's arrival order.
+type orderedEvent struct {
 	event   *v1.Event
 	arrival uint64
 }
 
-// newest returns the last events that a filter selects, newest first.
-func (l *eventLog) newest(filter EventFilter) []arrivedEvent {
-	var selected []arrivedEvent
+// newest returns up to filter.Limit of the latest events that match a filter,
+// newest first.
+func (l *eventLog) newest(filter EventFilter) []orderedEvent {
+	var selected []orderedEvent
 	for index := len(l.events) - 1; index >= 0 && len(selected) < filter.Limit; index-- {
 		if filter.matches(l.events[index]) {
-			selected = append(selected, arrivedEvent{event: l.events[index], arrival: l.arrivals[index]})
+			selected = append(selected, orderedEvent{event: l.events[index], arrival: l.arrivals[index]})
 		}
 	}
 	return selected
--- a/internal/state/id_set.go
+++ b/internal/state/id_set.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	// smallestIDSet is the least number of slots, a power of two.
-	smallestIDSet = 64
-	// idSetFill is the share of slots, out of idSetFillOf, that may be taken.
-	idSetFill, idSetFillOf = 2, 3
+	// minIDSetSlots is the minimum number of slots, a power of two.
+	minIDSetSlots = 64
+	// maxLoadNumerator / maxLoadDenominator is the maximum load factor.
+	maxLoadNumerator, maxLoadDenominator = 2, 3
 )
 
-// idSet is a set of hashes: open addressing with linear probing and deletion by
-// moving back (Knuth, The Art of Computer Programming, volume 3, 6.4). Hashes
-// need not be hashed again, which is what a map of millions of them would spend
-// its time on. The multiplier of a run is random, so that nobody can choose ids
-// that all meet in one place; it decides about places only, never about results.
+// idSet is a hash table with open addressing, linear probing and deletion by
+// backward shift (Knuth, The Art of Computer Programming, volume 3, 6.4). Its
+// elements are hashes already; a map of millions of them would spend its time on
+// hashing them again. The multiplier is random, so that clients can't choose ids
+// that collide; it affects only slot positions, never results.
 type idSet struct {
-	slots      []idHash // 0 is a free slot
+	slots      []idHash // 0 marks a free slot
 	count      int
 	multiplier uint64
 	shift      int
-	// zero says that the hash 0 is in the set.
-	zero bool
+	// hasZero reports whether the hash 0 is in the set.
+	hasZero bool
 }
 
-// newIDSet returns a set with room for a number of hashes.
-func newIDSet(room int) idSet {
-	size := smallestIDSet
-	for size*idSetFill < room*idSetFillOf {
+// newIDSet returns a set that holds capacity hashes without growing.
+func newIDSet(capacity int) idSet {
+	size := minIDSetSlots
+	for size*maxLoadNumerator < capacity*maxLoadDenominator {
 		size *= 2
 	}
 	return idSet{
@@ -39,30 +39,30 @@
 	}
 }
 
-// place is where the search for a hash begins.
-func (s *idSet) place(hash idHash) int { return int(uint64(hash) * s.multiplier >> s.shift) }
+// homeSlot returns the slot at which the probe for a hash starts.
+func (s *idSet) homeSlot(hash idHash) int { return int(uint64(hash) * s.multiplier >> s.shift) }
 
-func (s *idSet) after(slot int) int { return (slot + 1) & (len(s.slots) - 1) }
+func (s *idSet) nextSlot(slot int) int { return (slot + 1) & (len(s.slots) - 1) }
 
-// find returns the slot of a hash, or the free one where it would go.
+// find returns the slot of a hash, or the free slot to insert it in.
 func (s *idSet) find(hash idHash) int {
-	slot := s.place(hash)
+	slot := s.homeSlot(hash)
 	for s.slots[slot] != 0 && s.slots[slot] != hash {
-		slot = s.after(slot)
+		slot = s.nextSlot(slot)
 	}
 	return slot
 }
 
 func (s *idSet) has(hash idHash) bool {
 	if hash == 0 {
-		return s.zero
+		return s.hasZero
 	}
 	return s.slots[s.find(hash)] == hash
 }
 
 func (s *idSet) add(hash idHash) {
 	if hash == 0 {
-		s.zero = true
+		s.hasZero = true
 		return
 	}
 	slot := s.find(hash)
@@ -71,14 +71,14 @@
 	}
 	s.slots[slot] = hash
 	s.count++
-	if s.count*idSetFillOf > len(s.slots)*idSetFill {
+	if s.count*maxLoadDenominator > len(s.slots)*maxLoadNumerator {
 		s.grow()
 	}
 }
 
 func (s *idSet) grow() {
 	grown := newIDSet(2 * s.count)
-	grown.zero = s.zero
+	grown.hasZero = s.hasZero
 	for _, hash := range s.slots {
 		if hash != 0 {
 			grown.slots[grown.find(hash)] = hash
@@ -88,11 +88,11 @@
 	*s = grown
 }
 
-// remove takes a hash out and moves those behind it forward that would not be
-// found across the gap.
+// remove deletes a hash and shifts back the following hashes that a probe would
+// no longer reach across the gap.
 func (s *idSet) remove(hash idHash) {
 	if hash == 0 {
-		s.zero = false
+		s.hasZero = false
 		return
 	}
 	gap := s.find(hash)
@@ -100,8 +100,8 @@
 		return
 	}
 	s.count--
-	for slot := s.after(gap); s.slots[slot] != 0; slot = s.after(slot) {
-		if s.reaches(s.place(s.slots[slot]), gap, slot) {
+	for slot := s.nextSlot(gap); s.slots[slot] != 0; slot = s.nextSlot(slot) {
+		if s.probeCrosses(s.homeSlot(s.slots[slot]), gap, slot) {
 			s.slots[gap] = s.slots[slot]
 			gap = slot
 		}
@@ -109,9 +109,9 @@
 	s.slots[gap] = 0
 }
 
-// reaches reports whether a search that begins at a place passes the gap before
-// it comes to the slot.
-func (s *idSet) reaches(place, gap, slot int) bool {
+// probeCrosses reports whether a probe that starts at home passes the gap before
+// it reaches the slot.
+func (s *idSet) probeCrosses(home, gap, slot int) bool {
 	mask := len(s.slots) - 1
-	return (gap-place)&mask < (slot-place)&mask
+	return (gap-home)&mask < (slot-home)&mask
 }
--- a/internal/state/id_set_test.go
+++ b/internal/state/id_set_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestIDSetIsASet compares the set with a map. The hashes are few and close
-// together, 0 among them, so that they crowd the same slots.
-func TestIDSetIsASet(t *testing.T) {
+// TestIDSetMatchesMap compares the set with a map. The hashes come from a small
+// range that includes 0, so that they collide.
+func TestIDSetMatchesMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set, model := newIDSet(0), map[idHash]bool{}
 		set.multiplier = rapid.Uint64().Draw(t, "multiplier") | 1
--- a/internal/state/journal_test.go
+++ b/internal/state/journal_test.go
@@ -14,18 +14,18 @@
 	eventjournal "github.com/martenstage/martenstage/internal/journal"
 )
 
-// numberedEvent is one of three kinds, which alternate at random.
-func numberedEvent(run string, sequence int, kind string, at time.Time) *v1.Event {
+// sequencedEvent returns an event with an id of the form INCARNATION/SEQUENCE.
+func sequencedEvent(run string, sequence int, kind string, at time.Time) *v1.Event {
 	return &v1.Event{
 		Id: fmt.Sprintf("%s/%d", run, sequence), Time: timestamppb.New(at), LastTime: timestamppb.New(at),
 		Kind: kind, Source: "router-1", Count: 1,
 	}
 }
 
-// TestEveryEventCountsOnce appends batches of events, many of them equal, each
-// batch once or several times, over restarts of the machine and of the source:
-// the counts are those of the events, episodes that are long apart stay apart,
-// and nothing is in the journal twice.
+// TestEveryEventCountsOnce appends batches with many equal events and delivers each
+// one or more times, across restarts of the machine and of the source. Every event
+// must be counted once, events further apart than maxMergeGap must not be merged,
+// and no id may occur twice.
 func TestEveryEventCountsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness(t, DefaultLimits())
@@ -39,9 +39,9 @@
 				sequence++
 				kind := rapid.SampledFrom([]string{"lease_lost", "disk_slow", "bad_echo"}).Draw(t, "kind")
 				h.now = h.now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "seconds")) * time.Second)
-				batch = append(batch, numberedEvent(fmt.Sprintf("router-1/%d", boot), sequence, kind, h.now))
+				batch = append(batch, sequencedEvent(fmt.Sprintf("router-1/%d", boot), sequence, kind, h.now))
 				want[kind]++
-				if last, seen := lastOf[kind]; !seen || h.now.Sub(last) >= joinGap {
+				if last, seen := lastOf[kind]; !seen || h.now.Sub(last) >= maxMergeGap {
 					episodes++
 				}
 				lastOf[kind] = h.now
@@ -68,9 +68,10 @@
 	})
 }
 
-// TestABadNightStaysReadable fails a service all night: eight shards, three
-// outcomes, seen by 24 routers with four engines each, told every ten seconds.
-func TestABadNightStaysReadable(t *testing.T) {
+// TestRepeatedFailuresAreMerged simulates a long outage of a service with eight
+// shards and three outcomes, reported every ten seconds by 24 routers with four
+// engines each. It guards against a journal that fills up with equal events.
+func TestRepeatedFailuresAreMerged(t *testing.T) {
 	const routers, engines, shards, outcomes, rounds = 24, 4, 8, 3, 60
 	machine := New(DefaultLimits())
 	now := time.Unix(1_700_000_000, 0)
@@ -81,7 +82,7 @@
 			var batch []*v1.Event
 			for index := range engines * shards * outcomes {
 				sequence++
-				event := numberedEvent(fmt.Sprintf("router-%d/1", router), sequence, "coverage_below_policy", now)
+				event := sequencedEvent(fmt.Sprintf("router-%d/1", router), sequence, "coverage_below_policy", now)
 				event.Source = fmt.Sprint("router-", router)
 				event.Shard, event.Detail = fmt.Sprint("s", index%shards), fmt.Sprint("outcome ", index/shards%outcomes)
 				batch = append(batch, event)
@@ -100,12 +101,12 @@
 	}
 }
 
-// TestPlannedWorkKeepsFailures records failures, then far more changes and
-// restarts than the journal holds, and restarts the machine on the way.
-func TestPlannedWorkKeepsFailures(t *testing.T) {
+// TestRoutineEventsDoNotEvictFailures records failures and between them far more
+// routine events than the journal holds, with a restart of the machine.
+func TestRoutineEventsDoNotEvictFailures(t *testing.T) {
 	h := newHarness(t, smallLimits())
 	append := func(id int, kind eventjournal.Kind) {
-		event := numberedEvent("router-1/1", id, string(kind), h.now)
+		event := sequencedEvent("router-1/1", id, string(kind), h.now)
 		h.apply(&v1.StateCommand{Body: &v1.StateCommand_Events{Events: &v1.EventsCommand{Events: []*v1.Event{event}}}})
 	}
 	kinds := []eventjournal.Kind{
@@ -114,7 +115,7 @@
 	}
 	append(1, eventjournal.KindLeaseLost)
 	for number := range 100 {
-		h.now = h.now.Add(joinGap)
+		h.now = h.now.Add(maxMergeGap)
 		append(2+number, kinds[number%len(kinds)])
 		if number == 50 {
 			h.reload()
--- a/internal/state/machine_test.go
+++ b/internal/state/machine_test.go
@@ -20,18 +20,18 @@
 	invalid  = v1.ApplyResult_APPLY_RESULT_INVALID
 )
 
-// smallLimits make every bound bite within a short run.
+// smallLimits returns limits small enough that a short test reaches every bound.
 func smallLimits() Limits {
 	return Limits{
 		Revisions: 6, Texts: 3, TextBytes: 40,
 		Changes: 1000, ChangeBytes: 1 << 20, ChangeAge: time.Hour,
-		ClaimBytes: 480, ClaimExpiry: time.Minute, ClaimMemory: time.Minute, ClaimIDs: 8,
+		ClaimBytes: 480, ClaimExpiry: time.Minute, ClaimRetention: time.Minute, ClaimIDs: 8,
 		Events: 10, EventBytes: 2000, RoutineEvents: 10, RoutineEventBytes: 2000,
 	}
 }
 
-// harness applies commands to a machine that is replaced by its own snapshot
-// at random moments, as after a restart or a compaction of the log.
+// harness applies commands to a machine that is replaced by a copy restored from its
+// snapshot at random points, as after a restart or a log compaction.
 type harness struct {
 	t       require.TestingT
 	machine *Machine
@@ -50,13 +50,13 @@
 	return result
 }
 
-func (h *harness) pass(t *rapid.T) {
+func (h *harness) advanceTime(t *rapid.T) {
 	h.now = h.now.Add(time.Duration(rapid.IntRange(-2000, 30_000).Draw(t, "ms")) * time.Millisecond)
 }
 
 func (h *harness) restart(*rapid.T) { h.reload() }
 
-// reload passes the state through a snapshot, which must not change it.
+// reload restores the machine from its snapshot, which must not change the state.
 func (h *harness) reload() {
 	before, err := h.machine.Snapshot()
 	require.NoError(h.t, err)
@@ -69,7 +69,7 @@
 }
 
 // TestChangesMatchModel checks compare-and-set and resent change ids against a
-// model that forgets nothing.
+// model without bounds.
 func TestChangesMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness(t, smallLimits())
@@ -111,7 +111,7 @@
 					require.Equal(t, uint64(len(texts)), got.Revision)
 				}
 			},
-			"pass":    h.pass,
+			"pass":    h.advanceTime,
 			"restart": h.restart,
 			"": func(t *rapid.T) {
 				require.Equal(t, uint64(len(texts)), h.machine.Latest().Number)
@@ -125,9 +125,9 @@
 	})
 }
 
-// TestClaimIsGrantedToOneCall checks that two calls are granted the same id
-// only when the first proved that it did not run, or after the whole time of
-// remembering, and that refusals tell the truth.
+// TestClaimIsGrantedToOneCall checks that an id is granted to a second call only if
+// the first one settled as not run or ClaimRetention has passed, and that each
+// refusal states the right reason.
 func TestClaimIsGrantedToOneCall(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness(t, smallLimits())
@@ -150,7 +150,7 @@
 				case ClaimGranted:
 					if held != nil && (held.call != call || call == 0) {
 						free := held.settled == v1.ClaimOutcome_CLAIM_OUTCOME_NOT_RUN ||
-							h.machine.Now().Sub(held.at) >= h.machine.limits.ClaimMemory
+							h.machine.Now().Sub(held.at) >= h.machine.limits.ClaimRetention
 						require.True(t, free, "granted to calls %d and %d", held.call, call)
 					}
 					if held == nil || held.call != call || call == 0 || held.settled != 0 {
@@ -159,7 +159,7 @@
 				case ClaimRan:
 					require.Equal(t, v1.ClaimOutcome_CLAIM_OUTCOME_RAN, held.settled)
 				case ClaimMayHaveRun:
-					// A late copy of a call that gave up may be the first to arrive.
+					// The call may have settled as not run before its claim arrived.
 				case ClaimExpired:
 					require.NotNil(t, held)
 				case ClaimsFull:
@@ -180,7 +180,7 @@
 					held.settled = outcome
 				}
 			},
-			"pass":    h.pass,
+			"pass":    h.advanceTime,
 			"restart": h.restart,
 			"": func(t *rapid.T) {
 				live, expired := h.machine.ClaimCounts()
@@ -196,8 +196,8 @@
 	return h.apply(&v1.StateCommand{Body: &v1.StateCommand_Claims{Claims: batch}}).Claims[0]
 }
 
-// TestClaimAnswers walks through the answers to one id, in order.
-func TestClaimAnswers(t *testing.T) {
+// TestClaimResults checks the results of successive claims and settlements of one id.
+func TestClaimResults(t *testing.T) {
 	machine := New(smallLimits())
 	start := time.Unix(1_700_000_000, 0)
 	const ran, notRun = v1.ClaimOutcome_CLAIM_OUTCOME_RAN, v1.ClaimOutcome_CLAIM_OUTCOME_NOT_RUN
@@ -211,20 +211,20 @@
 		want   ClaimResult
 	}{
 		{"the first call", 0, 1, "a", 0, ClaimGranted},
-		{"its resend", time.Second, 1, "a", 0, ClaimGranted},
+		{"the first call resent", time.Second, 1, "a", 0, ClaimGranted},
 		{"another call", time.Second, 2, "a", 0, ClaimMayHaveRun},
 		{"another body", time.Second, 2, "b", 0, ClaimDigestMismatch},
-		{"a foreign settlement", time.Second, 2, "", notRun, ClaimNone},
-		{"which released nothing", time.Second, 2, "a", 0, ClaimMayHaveRun},
+		{"a settlement by another call", time.Second, 2, "", notRun, ClaimNone},
+		{"the claim is still held", time.Second, 2, "a", 0, ClaimMayHaveRun},
 		{"the holder's release", time.Second, 1, "", notRun, ClaimNone},
 		{"a late copy of the released call", time.Second, 1, "a", 0, ClaimMayHaveRun},
 		{"a new call", time.Second, 3, "a", 0, ClaimGranted},
-		{"its settlement", time.Second, 3, "", ran, ClaimNone},
+		{"the settlement of the new call", time.Second, 3, "", ran, ClaimNone},
 		{"a call after the run", time.Second, 4, "a", 0, ClaimRan},
 		{"a late release", time.Second, 3, "", notRun, ClaimNone},
-		{"which changed nothing", time.Second, 4, "a", 0, ClaimRan},
+		{"the outcome is unchanged", time.Second, 4, "a", 0, ClaimRan},
 		{"a call after the expiry", time.Minute + time.Second, 5, "a", 0, ClaimExpired},
-		{"a call after the id is forgotten", 3 * time.Minute, 6, "a", 0, ClaimGranted},
+		{"a call after the tombstone is removed", 3 * time.Minute, 6, "a", 0, ClaimGranted},
 	}
 	for _, step := range steps {
 		data, err := Encode(start.Add(step.after), &v1.StateCommand{Body: &v1.StateCommand_Claims{Claims: &v1.ClaimBatch{
@@ -239,9 +239,9 @@
 	}
 }
 
-// TestAbsoluteExpiryNeedsNoMemory checks that an id stays refused for good when
-// the caller repeats the expiry that it chose, also once it is forgotten.
-func TestAbsoluteExpiryNeedsNoMemory(t *testing.T) {
+// TestAbsoluteExpiryNeedsNoTombstone checks that a claim that repeats its expired
+// absolute expiry is refused even after its tombstone is removed.
+func TestAbsoluteExpiryNeedsNoTombstone(t *testing.T) {
 	machine := New(smallLimits())
 	start := time.Unix(1_700_000_000, 0)
 	claim := func(at time.Time) ClaimResult {
@@ -259,12 +259,12 @@
 	require.Equal(t, ClaimExpired, claim(start.Add(24*time.Hour)))
 	live, expired := machine.ClaimCounts()
 	require.Zero(t, live+expired)
-	// A leader whose clock is behind must not bring the id back to life.
+	// A leader whose clock is behind must not make the id valid again.
 	require.Equal(t, ClaimExpired, claim(start))
 }
 
-// TestJournalKeepsTheNewestOnce checks the bound, the count of dropped events
-// and that an event is stored once.
+// TestJournalKeepsTheNewestOnce checks that the journal keeps the newest events
+// within its bound, counts dropped ones and stores each event once.
 func TestJournalKeepsTheNewestOnce(t *testing.T) {
 	machine := New(smallLimits())
 	for index := range 15 {
@@ -283,8 +283,9 @@
 	require.Equal(t, "13", events[2].GetId())
 }
 
-// TestRefusedChangesOfOneAuthorAreCounted submits refused changes in a loop:
-// an author's refusals of a minute are one event, and others' stay apart.
+// TestRefusedChangesOfOneAuthorAreCounted submits refused changes in a loop. The
+// refusals of one author within a minute must be one event, separate from those of
+// other authors.
 func TestRefusedChangesOfOneAuthorAreCounted(t *testing.T) {
 	machine := New(DefaultLimits())
 	begun := time.Unix(1_700_000_000, 0).UTC()
@@ -301,7 +302,7 @@
 	}
 	submit(50*time.Second, "other", "anong")
 	submit(51*time.Second, "loop-50", "malee")
-	submit(51*time.Second, "loop-50", "malee") // a resend is no new refusal
+	submit(51*time.Second, "loop-50", "malee") // a resent change is not counted again
 	submit(61*time.Second, "loop-61", "malee")
 	events := machine.Events(EventFilter{Limit: 100})
 	require.Len(t, events, 3)
@@ -311,18 +312,18 @@
 	require.EqualValues(t, 1, events[2].GetCount())
 }
 
-// TestUnknownCommandStops checks that a command of a newer version is an error
-// and not skipped.
-func TestUnknownCommandStops(t *testing.T) {
+// TestUnknownCommandFails checks that a command of an unknown kind is an error and
+// is not skipped.
+func TestUnknownCommandFails(t *testing.T) {
 	data, err := Encode(time.Unix(1, 0), &v1.StateCommand{})
 	require.NoError(t, err)
 	_, err = New(smallLimits()).Apply(data)
 	require.Error(t, err)
 }
 
-// TestApplyHashIsThatOfStoredResults checks hashes as the state of a running
-// group holds them: a resend is known by them after an upgrade too.
-func TestApplyHashIsThatOfStoredResults(t *testing.T) {
+// TestApplyHashIsStable checks that request hashes equal those in stored states, so
+// that a change that is resent after an upgrade is recognized.
+func TestApplyHashIsStable(t *testing.T) {
 	sum := func(request string) []byte {
 		hash := sha256.Sum256([]byte(request))
 		return hash[:]
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -13,18 +13,18 @@
 	v1 "github.com/martenstage/martenstage/internal/gen/martenstage/v1"
 )
 
-// A snapshot is snapshotMagic, a format version byte and a StateSnapshot. The
-// version changes only when a newer program could no longer read the older
-// encoding field by field; reading every older version stays supported.
+// A snapshot consists of snapshotMagic, a version byte and an encoded
+// StateSnapshot. The version changes only if the new encoding is not compatible
+// with the older one at the level of fields; all older versions stay readable.
 const (
 	snapshotMagic = "martenstage-state"
-	// snapshotVersion is the newest version. It is the format of the state, so
-	// that a program which knows only the first one can read a snapshot as long
-	// as no difference was committed, and refuses it from then on.
+	// snapshotVersion is the newest version. The version equals the state format,
+	// so that a program that supports only the first format reads snapshots until
+	// the format is raised to allow deltas, and rejects them from then on.
 	snapshotVersion = LatestFormat
 )
 
-// Snapshot encodes the whole state. Equal states have equal snapshots.
+// Snapshot encodes the entire state. Equal states have equal snapshots.
 func (m *Machine) Snapshot() ([]byte, error) {
 	snapshot := &v1.StateSnapshot{
 		TimeUnixMs:     m.now,
@@ -39,7 +39,7 @@
 		EventsDropped:  m.journal.dropped,
 		PlanDeltas:     m.config.planDeltas,
 	}
-	if m.format > formatWhole {
+	if m.format > formatFullText {
 		snapshot.Format = m.format
 	}
 	header := append([]byte(snapshotMagic), byte(m.format))
@@ -47,7 +47,7 @@
 	return encoded, errors.Wrap(err, "encode state snapshot")
 }
 
-// Restore replaces the whole state by a snapshot. On an error the state is
+// Restore replaces the entire state with a snapshot. On an error the state is
 // unchanged.
 func (m *Machine) Restore(data []byte) error {
 	headerSize := len(snapshotMagic) + 1
@@ -71,8 +71,8 @@
 
 func (m *Machine) load(snapshot *v1.StateSnapshot) error {
 	m.now = snapshot.GetTimeUnixMs()
-	if m.format = max(formatWhole, snapshot.GetFormat()); m.format > LatestFormat {
-		return errors.Newf("state snapshot has format %d, this program knows up to %d", m.format, LatestFormat)
+	if m.format = max(formatFullText, snapshot.GetFormat()); m.format > LatestFormat {
+		return errors.Newf("state snapshot has format %d, this program supports up to %d", m.format, LatestFormat)
 	}
 	for index, stored := range snapshot.GetRevisions() {
 		if index > 0 && stored.GetNumber() != m.config.latest().Number+1 {
@@ -103,14 +103,14 @@
 	return nil
 }
 
-// restore appends a revision of a snapshot as it was stored.
+// restore appends a revision from a snapshot without applying limits.
 func (c *configuration) restore(revision Revision) error {
-	if revision.isDelta() && (c.withText == 0 || c.latest().TextDropped) {
+	if revision.isDelta() && (c.textCount == 0 || c.latest().TextDropped) {
 		return errors.Newf("state snapshot holds revision %d as the difference from a text that it does not hold", revision.Number)
 	}
 	c.revisions = append(c.revisions, revision)
 	if !revision.TextDropped {
-		c.withText++
+		c.textCount++
 		c.textBytes += revision.textSize()
 	}
 	return nil
@@ -204,26 +204,26 @@
 		IdHashes:      make([]uint64, 0, len(tombstones)),
 		ForgetDeltaMs: make([]int64, 0, len(tombstones)),
 	}
-	before := int64(0)
+	previous := int64(0)
 	for _, value := range tombstones {
 		stored.IdHashes = append(stored.IdHashes, uint64(value.id))
-		stored.ForgetDeltaMs = append(stored.ForgetDeltaMs, value.forget-before)
-		before = value.forget
+		stored.ForgetDeltaMs = append(stored.ForgetDeltaMs, value.removeAt-previous)
+		previous = value.removeAt
 	}
 	return stored
 }
 
 func (c *claims) loadTombstones(stored *v1.StoredTombstones) error {
 	if len(stored.GetIdHashes()) != len(stored.GetForgetDeltaMs()) {
-		return errors.New("state snapshot holds ids without times")
+		return errors.New("state snapshot has different numbers of tombstone ids and removal times")
 	}
 	count := len(stored.GetIdHashes())
 	c.tombstones = make([]tombstone, 0, count)
 	c.tombstoned = newIDSet(count)
-	forget := int64(0)
+	removeAt := int64(0)
 	for index, hash := range stored.GetIdHashes() {
-		forget += stored.GetForgetDeltaMs()[index]
-		c.addTombstone(tombstone{id: idHash(hash), forget: forget})
+		removeAt += stored.GetForgetDeltaMs()[index]
+		c.addTombstone(tombstone{id: idHash(hash), removeAt: removeAt})
 	}
 	return nil
 }
--- a/internal/state/snapshot_test.go
+++ b/internal/state/snapshot_test.go
@@ -16,7 +16,7 @@
 
 func goldenPath() string { return filepath.Join("testdata", "snapshot-v1.bin") }
 
-// goldenCommands lead to a state in which every part holds something.
+// goldenCommands returns commands that fill every part of the state.
 func goldenCommands() []*v1.StateCommand {
 	change := func(id, text string, expected uint64) *v1.StateCommand {
 		return &v1.StateCommand{Body: &v1.StateCommand_Change{Change: &v1.ChangeCommand{
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestOldSnapshotIsReadable restores the committed snapshot of format version 1.
+// TestOldSnapshotIsReadable restores the snapshot of version 1 in testdata.
 func TestOldSnapshotIsReadable(t *testing.T) {
 	if *writeGolden {
 		machine := New(DefaultLimits())
@@ -79,8 +79,8 @@
 	require.Equal(t, ClaimRan, claim("ran", "c"))
 }
 
-// TestNewerSnapshotIsRefused checks that a program does not guess at a format
-// that it doesn't know.
+// TestNewerSnapshotIsRefused checks that a snapshot of an unknown version is an
+// error.
 func TestNewerSnapshotIsRefused(t *testing.T) {
 	data, err := New(DefaultLimits()).Snapshot()
 	require.NoError(t, err)
@@ -88,8 +88,8 @@
 	require.ErrorContains(t, New(DefaultLimits()).Restore(data), "version 3")
 }
 
-// FuzzRestore feeds damaged snapshots: an error or a state that has a snapshot,
-// never a panic.
+// FuzzRestore restores corrupt snapshots. The result must be an error or a state
+// that can be written as a snapshot, never a panic.
 func FuzzRestore(f *testing.F) {
 	for _, name := range []string{"snapshot-v1.bin", "snapshot-v2.bin"} {
 		golden, err := os.ReadFile(filepath.Join("testdata", name))
@@ -105,7 +105,7 @@
 	})
 }
 
-// FuzzApply feeds damaged commands.
+// FuzzApply applies corrupt commands, with the same requirement as FuzzRestore.
 func FuzzApply(f *testing.F) {
 	for _, command := range goldenCommands() {
 		data, err := Encode(time.Unix(1_700_000_000, 0), command)
