--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -2,48 +2,51 @@
 
 import "time"
 
-// Limits bound what a bad version may get.
+// Limits bound the traffic that a bad version may receive.
 type Limits struct {
-	// CanaryShare of all requests of a service, between order and deadline, may go to a bad
-	// version.
+	// CanaryShare is the maximum share of a service's requests, from the start of the
+	// roll-out to its deadline, that a bad version may receive.
 	CanaryShare float64
 }
 
-// Steps of a roll-out.
+// Parameters of the phases of a roll-out.
 const (
-	// canaryPart of the share that is allowed is used for the canary; the rest is for what
-	// goes to the version before it is convicted in the ramp.
-	canaryPart = 0.6
-	// rampShare of the calls goes to the new version in the ramp.
-	rampShare = 0.3
-	// shiftPart of the time that was ordered, within the two bounds, is kept for moving all
-	// calls and watching them there: some versions are bad only under load.
-	shiftPart  = 0.3
-	shiftLeast = 1500 * time.Millisecond
-	shiftMost  = 5 * time.Second
-	// rampPart of that is the ramp, watchPart the least time under the whole load.
-	rampPart  = 0.3
-	watchPart = 0.35
-	// leastAnswers of the new version are needed for it to be trusted.
-	leastAnswers = 10
-	// endMargin before the deadline a roll-out ends whatever is known.
+	// canaryFraction is the part of CanaryShare that the canary uses. The rest covers the
+	// requests that a bad version receives in the ramp before it is detected.
+	canaryFraction = 0.6
+	// rampTrafficShare is the share of calls that goes to the new version in the ramp.
+	rampTrafficShare = 0.3
+	// shiftFraction is the part of the roll-out's duration, between minShift and maxShift, that
+	// is reserved for moving all calls and observing them on the new version. Some versions
+	// fail only under full load.
+	shiftFraction = 0.3
+	minShift      = 1500 * time.Millisecond
+	maxShift      = 5 * time.Second
+	// rampFraction is the part of that time spent in the ramp, minWatchFraction the minimum
+	// part under full load.
+	rampFraction     = 0.3
+	minWatchFraction = 0.35
+	// minAnswers is the number of answers that the new version needs to leave the canary.
+	minAnswers = 10
+	// endMargin is how long before its deadline a roll-out ends, whatever the evidence.
 	endMargin = 400 * time.Millisecond
 )
 
-// Situation is what the next step is decided by.
+// Situation is the input of Decide.
 type Situation struct {
 	Phase Phase
-	// Elapsed is the time since the order, Inside since the present phase began.
+	// Elapsed is the time since the roll-out started, Inside the time since its phase did, and
+	// Duration the time allowed for the whole roll-out.
 	Elapsed  time.Duration
 	Inside   time.Duration
 	Duration time.Duration
 	Evidence Evidence
-	// Quiet says that every router that is there sends to the new version alone, and that the
-	// old one works on nothing any more.
+	// Quiet reports that all reachable routers send to the new version only and that the old
+	// one has no calls in flight.
 	Quiet bool
 }
 
-// Step is what to do next; the zero value is to go on.
+// Step is the transition to another phase; the zero value keeps the present one.
 type Step struct {
 	Phase Phase
 	Why   string
@@ -51,43 +54,43 @@
 
 // Decide returns the next step of a running roll-out.
 func Decide(now Situation) Step {
-	if convicted := Judge(now.Evidence); convicted != nil {
-		return Step{Phase: RolledBack, Why: convicted.String()}
+	if verdict := Judge(now.Evidence); verdict != nil {
+		return Step{Phase: RolledBack, Why: verdict.String()}
 	}
-	whole := now.Evidence.Whole()
-	shift := min(shiftMost, max(shiftLeast, time.Duration(shiftPart*float64(now.Duration))))
+	total := now.Evidence.Whole()
+	shift := min(maxShift, max(minShift, time.Duration(shiftFraction*float64(now.Duration))))
 	ending := now.Elapsed >= now.Duration-endMargin
 	switch now.Phase {
 	case Canary:
 		switch {
 		case now.Elapsed < now.Duration-shift:
 			return Step{}
-		case whole.New.Answers >= leastAnswers:
-			return Step{Phase: Ramp, Why: "no mark of a bad version under the canary share"}
+		case total.New.Answers >= minAnswers:
+			return Step{Phase: Ramp, Why: "no sign of a bad version at the canary share"}
 		case ending:
 			return Step{Phase: RolledBack, Why: "too few answers of the new version to trust it"}
 		}
 	case Ramp:
-		if now.Inside >= time.Duration(rampPart*float64(shift)) {
-			return Step{Phase: Shifted, Why: "no mark of a bad version in the ramp"}
+		if now.Inside >= time.Duration(rampFraction*float64(shift)) {
+			return Step{Phase: Shifted, Why: "no sign of a bad version in the ramp"}
 		}
 	case Shifted:
-		watched := now.Inside >= time.Duration(watchPart*float64(shift))
+		watched := now.Inside >= time.Duration(minWatchFraction*float64(shift))
 		if watched && now.Quiet || ending {
-			return Step{Phase: Done, Why: "no mark of a bad version under the whole load"}
+			return Step{Phase: Done, Why: "no sign of a bad version under full load"}
 		}
 	}
 	return Step{}
 }
 
-// RuleOf returns what routers are told of a phase.
+// RuleOf returns the rule that routers follow in a phase.
 func RuleOf(target string, phase Phase, limits Limits) Rule {
 	rule := Rule{Target: target, Phase: phase}
 	switch phase {
 	case Canary:
-		rule.Share = canaryPart * limits.CanaryShare
+		rule.Share = canaryFraction * limits.CanaryShare
 	case Ramp:
-		rule.Share = rampShare
+		rule.Share = rampTrafficShare
 	}
 	return rule
 }
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -1,10 +1,10 @@
-// Package rollout decides how a service's requests move to servers of another version of
-// their software, and whether that version is good. It has no I/O and reads no clock.
+// Package rollout decides how a service's requests shift to servers that run a new software
+// version, and whether that version is good. It has no I/O and reads no clock.
 //
-//   - A Rule says to routers which servers a call may go to.
-//   - Evidence is what routers observe of both versions, side by side.
-//   - Judge compares the two by a sequential test; Decide takes the next step of a roll-out.
+//   - Rule defines for routers which servers a call may go to.
+//   - Evidence holds what routers observe of both versions at the same time.
+//   - Judge compares the two versions by a sequential test; Decide returns the next step.
 //
-// The orders and steps are durable elsewhere (package directory); evidence is not: each router
-// tells its sums again, so that a new leader has them within a moment.
+// Roll-outs and their steps are stored durably by package directory. Evidence is not stored:
+// routers report their totals repeatedly, so a new leader soon has them.
 package rollout
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Buckets of the times of answers: two for each power of two, from 1 ms on.
+// Latency histogram: two buckets for each power of two, starting at 1 ms.
 const (
-	Buckets         = 28
-	bucketsPerPower = 2
+	Buckets            = 28
+	bucketsPerDoubling = 2
 )
 
-// Counts is what was observed of one version on one route.
+// Counts holds the observations of one version on one route.
 type Counts struct {
 	Answers uint64 `json:"answers"`
-	// Bad are failures of the server's own and attempts that broke off.
+	// Bad counts failures of the server itself and aborted attempts.
 	Bad uint64 `json:"bad,omitempty"`
-	// Took counts good answers by how long they took.
+	// Took is the latency histogram of the good answers.
 	Took [Buckets]uint64 `json:"took"`
 }
 
-// Observe takes an answer in.
+// Observe counts an answer.
 func (c *Counts) Observe(bad bool, took time.Duration) {
 	c.Answers++
 	if bad {
@@ -35,7 +35,7 @@
 	if milliseconds <= 1 {
 		return 0
 	}
-	return min(Buckets-1, int(bucketsPerPower*math.Log2(milliseconds)))
+	return min(Buckets-1, int(bucketsPerDoubling*math.Log2(milliseconds)))
 }
 
 func (c *Counts) add(other Counts) {
@@ -46,29 +46,29 @@
 	}
 }
 
-// timed is how many answers are counted by how long they took.
-func (c *Counts) timed() (count uint64) {
+// timedCount returns the number of answers in the latency histogram.
+func (c *Counts) timedCount() (count uint64) {
 	for _, in := range c.Took {
 		count += in
 	}
 	return count
 }
 
-// above counts the answers in a bucket and those that took longer.
-func (c *Counts) above(bucket int) (count uint64) {
+// countFrom returns the number of answers in a bucket and the slower ones.
+func (c *Counts) countFrom(bucket int) (count uint64) {
 	for _, in := range c.Took[min(bucket, Buckets):] {
 		count += in
 	}
 	return count
 }
 
-// Pair is what was observed of both versions.
+// Pair holds the observations of both versions.
 type Pair struct {
 	Old Counts `json:"old"`
 	New Counts `json:"new"`
 }
 
-// Of returns the counts of a side.
+// Of returns the counts of the new version if fresh is set, else of the old one.
 func (p *Pair) Of(fresh bool) *Counts {
 	if fresh {
 		return &p.New
@@ -76,13 +76,13 @@
 	return &p.Old
 }
 
-// Evidence is what was observed of a roll-out, by route.
+// Evidence holds the observations of a roll-out by route.
 type Evidence map[string]*Pair
 
-// maxRoutes bounds the routes that are told apart; further ones count as one.
+// maxRoutes bounds the routes counted separately; all others share one entry.
 const maxRoutes = 64
 
-// Observe takes an answer on a route in.
+// Observe counts an answer on a route.
 func (e Evidence) Observe(route string, fresh, bad bool, took time.Duration) {
 	pair, known := e[route]
 	if !known {
@@ -97,7 +97,7 @@
 	pair.Of(fresh).Observe(bad, took)
 }
 
-// Add takes in what another router observed.
+// Add adds the observations of another router.
 func (e Evidence) Add(other Evidence) {
 	for route, pair := range other {
 		if pair == nil {
@@ -116,10 +116,10 @@
 
 // Whole returns the sum over all routes.
 func (e Evidence) Whole() Pair {
-	var whole Pair
+	var total Pair
 	for _, pair := range e {
-		whole.Old.add(pair.Old)
-		whole.New.add(pair.New)
+		total.Old.add(pair.Old)
+		total.New.add(pair.New)
 	}
-	return whole
+	return total
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -11,77 +11,77 @@
 	"github.com/martenstage/martenstage/internal/rollout"
 )
 
-// software is how a version answers at a time and share of the load.
+// software simulates the answer of a version at a time and under a share of the load.
 type software func(random *rand.Rand, at time.Duration, load float64, route string) (bad bool, took time.Duration)
 
 func good(random *rand.Rand, _ time.Duration, _ float64, _ string) (bool, time.Duration) {
-	return random.Float64() < 0.005, pace(random)
+	return random.Float64() < 0.005, responseTime(random)
 }
 
-func pace(random *rand.Rand) time.Duration {
+func responseTime(random *rand.Rand) time.Duration {
 	return time.Duration(15 * float64(time.Millisecond) * (0.7 + random.ExpFloat64()*0.4))
 }
 
-func failing(part float64) software {
+func failing(fraction float64) software {
 	return func(random *rand.Rand, at time.Duration, load float64, route string) (bool, time.Duration) {
 		bad, took := good(random, at, load, route)
-		return bad || random.Float64() < part, took
+		return bad || random.Float64() < fraction, took
 	}
 }
 
-func slow(times float64) software {
+func slow(factor float64) software {
 	return func(random *rand.Rand, at time.Duration, load float64, route string) (bool, time.Duration) {
 		bad, took := good(random, at, load, route)
-		return bad, time.Duration(times * float64(took))
+		return bad, time.Duration(factor * float64(took))
 	}
 }
 
-// when is a version that is bad only in some state of things.
-func when(state func(at time.Duration, load float64, route string) bool, bad software) software {
+// when returns a version that behaves badly only while a condition holds.
+func when(condition func(at time.Duration, load float64, route string) bool, bad software) software {
 	return func(random *rand.Rand, at time.Duration, load float64, route string) (bool, time.Duration) {
-		if state(at, load, route) {
+		if condition(at, load, route) {
 			return bad(random, at, load, route)
 		}
 		return good(random, at, load, route)
 	}
 }
 
-// played is how a roll-out ended.
-type played struct {
+// simulationResult describes a simulated roll-out.
+type simulationResult struct {
 	phase rollout.Phase
 	at    time.Duration
-	// exposed of all requests went to the new version.
+	// exposed counts the requests sent to the new version, all those of the service.
 	exposed, all int
-	// late were sent to it long after its fiftieth bad answer.
+	// late counts those sent to it more than rollbackWithin after its fiftieth bad answer.
 	late int
 	why  string
 }
 
-// Parameters of a played roll-out.
+// Parameters of a simulated roll-out.
 const (
 	duration = 12 * time.Second
 	tick     = 50 * time.Millisecond
-	// delay is that of evidence and of the news of a step together.
+	// delay is the sum of the delays of evidence and of the announcement of a step.
 	delay          = 400 * time.Millisecond
 	rollbackWithin = 5 * time.Second
 	canaryShare    = 0.1
 	canarySlack    = 50
 )
 
-// play carries a roll-out out under a load of requests a second over three routes.
-func play(seed uint64, rate float64, old, fresh software) played {
+// simulate runs a roll-out with a rate of requests per second, spread over three routes.
+func simulate(seed uint64, rate float64, old, fresh software) simulationResult {
 	random := rand.New(rand.NewPCG(seed, 2))
 	evidence := rollout.Evidence{}
-	phase, told := rollout.Canary, rollout.Canary
+	phase, published := rollout.Canary, rollout.Canary
 	var began, changed, fiftieth time.Duration
-	var result played
-	var waiting []func()
+	var result simulationResult
+	var delayed []func()
 	bad := 0
 	for at := time.Duration(0); at < duration; at += tick {
 		if at-changed >= delay/2 {
-			told = phase
+			published = phase
 		}
-		rule := rollout.RuleOf("new", told, rollout.Limits{CanaryShare: canaryShare})
+		rule := rollout.RuleOf("new", published, rollout.Limits{CanaryShare: canaryShare})
 		batch := []func(){}
 		for range int(rate*tick.Seconds() + random.Float64()) {
 			result.all++
@@ -103,20 +103,20 @@
 			}
 			batch = append(batch, func() { evidence.Observe(route, isNew, failed, took) })
 		}
-		waiting = append(waiting, func() {
-			for _, one := range batch {
-				one()
+		delayed = append(delayed, func() {
+			for _, observe := range batch {
+				observe()
 			}
 		})
-		if steps := int(delay / 2 / tick); len(waiting) > steps {
-			waiting[0]()
-			waiting = waiting[1:]
+		if steps := int(delay / 2 / tick); len(delayed) > steps {
+			delayed[0]()
+			delayed = delayed[1:]
 		}
 		if !phase.Running() {
 			continue
 		}
 		next := rollout.Decide(rollout.Situation{
-			Phase: phase, Elapsed: at, Inside: at - began, Duration: duration, Evidence: evidence, Quiet: told == rollout.Shifted && at-changed > delay,
+			Phase: phase, Elapsed: at, Inside: at - began, Duration: duration, Evidence: evidence, Quiet: published == rollout.Shifted && at-changed > delay,
 		})
 		if next.Phase != "" {
 			phase, began, changed = next.Phase, at, at
@@ -126,9 +126,10 @@
 	return result
 }
 
-// TestBadVersionsAreRolledBackWithinTheirBounds plays each kind of bad version under several
-// loads: it is rolled back before the deadline and gets no more than it may.
-func TestBadVersionsAreRolledBackWithinTheirBounds(t *testing.T) {
+// TestBadVersionsAreRolledBackWithinBounds simulates bad versions of each kind at several
+// request rates. They must be rolled back before the deadline and in time after the fiftieth
+// bad answer, and receive no more requests than allowed.
+func TestBadVersionsAreRolledBackWithinBounds(t *testing.T) {
 	later := func(at time.Duration, _ float64, _ string) bool { return at > 5*time.Second }
 	onOneRoute := func(_ time.Duration, _ float64, route string) bool { return route == "route-1" }
 	underLoad := func(_ time.Duration, load float64, _ string) bool { return load == 0 || load > 0.2 }
@@ -149,7 +150,7 @@
 		}
 		for _, rate := range []float64{40, 120, 400} {
 			for seed := range uint64(20) {
-				result := play(seed, rate, old, bad)
+				result := simulate(seed, rate, old, bad)
 				require.Equal(t, rollout.RolledBack, result.phase, "%s at %v a second, seed %d", name, rate, seed)
 				require.LessOrEqual(t, float64(result.exposed), canaryShare*float64(result.all)+canarySlack, "%s at %v a second, seed %d", name, rate, seed)
 				require.Zero(t, result.late, "%s at %v a second, seed %d", name, rate, seed)
@@ -158,8 +159,9 @@
 	}
 }
 
-// TestGoodVersionsAreDoneBesideOtherTroubles has the old and the new version suffer alike.
-func TestGoodVersionsAreDoneBesideOtherTroubles(t *testing.T) {
+// TestGoodVersionsCompleteDespiteSharedFaults checks that faults that affect the old and the new
+// version alike rarely lead to a roll-back.
+func TestGoodVersionsCompleteDespiteSharedFaults(t *testing.T) {
 	some := func(at time.Duration, _ float64, _ string) bool { return at > 3*time.Second && at < 8*time.Second }
 	ended, convicted := 0, 0
 	for name, both := range map[string]software{
@@ -167,7 +169,7 @@
 	} {
 		for _, rate := range []float64{40, 400} {
 			for seed := range uint64(100) {
-				result := play(seed, rate, both, both)
+				result := simulate(seed, rate, both, both)
 				ended++
 				if result.phase != rollout.Done {
 					convicted++
@@ -184,7 +186,7 @@
 	situation := rollout.Situation{Phase: rollout.Canary, Elapsed: 11700 * time.Millisecond, Duration: duration, Evidence: rollout.Evidence{}}
 	require.Equal(t, rollout.RolledBack, rollout.Decide(situation).Phase)
 	situation.Elapsed = 10 * time.Second
-	require.Empty(t, rollout.Decide(situation).Phase, "there is time left")
+	require.Empty(t, rollout.Decide(situation).Phase, "the deadline is not near yet")
 }
 
 func TestSidesFollowThePhase(t *testing.T) {
@@ -217,7 +219,7 @@
 	require.True(t, held.Allows(rollout.Either, "v2"))
 	held.Barred = []string{"v0"}
 	for _, side := range []rollout.Side{rollout.Either, rollout.Old, rollout.New} {
-		require.False(t, held.Allows(side, "v0"), "taken back before")
+		require.False(t, held.Allows(side, "v0"), "rolled back earlier")
 	}
 }
 
--- a/internal/rollout/rule.go
+++ b/internal/rollout/rule.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// Phase is how far a roll-out is.
+// Phase is the state of a roll-out.
 type Phase string
 
 // The phases.
 const (
-	// Canary: a small share of the calls goes to servers of the new version.
+	// Canary sends a small share of the calls to servers of the new version.
 	Canary Phase = "canary"
-	// Ramp: a larger share does, for the moment before all do.
+	// Ramp sends a larger share for a short time before Shifted.
 	Ramp Phase = "ramp"
-	// Shifted: all calls go to them; the others still work on what they have.
+	// Shifted sends all calls to the new version; the other servers finish calls in flight.
 	Shifted Phase = "shifted"
-	// Done and RolledBack are the ends.
+	// Done and RolledBack are the final phases.
 	Done       Phase = "done"
 	RolledBack Phase = "rolled_back"
 )
@@ -21,32 +21,33 @@
 // Running reports whether the roll-out has not ended.
 func (p Phase) Running() bool { return p == Canary || p == Ramp || p == Shifted }
 
-// Rule says which servers of a service calls may go to. The zero value allows all.
+// Rule defines which servers of a service calls may go to. The zero value allows all.
 type Rule struct {
 	// Target is the new version.
 	Target string `json:"target"`
 	Phase  Phase  `json:"phase"`
-	// Share of the calls, 0 to 1, goes to servers of the new version in Canary and Ramp.
+	// Share is the share of calls, from 0 to 1, sent to the new version in Canary and Ramp.
 	Share float64 `json:"share,omitempty"`
-	// Barred are versions that earlier roll-outs took back: they get nothing.
+	// Barred are versions that earlier roll-outs rolled back; they receive no calls.
 	Barred []string `json:"barred,omitempty"`
 }
 
-// Side is which servers one attempt may go to.
+// Side is the set of servers that an attempt may go to.
 type Side uint8
 
 // The sides.
 const (
-	// Either: no roll-out says otherwise.
+	// Either allows all servers, as without a roll-out.
 	Either Side = iota
-	// Old are the servers of all versions but the new one, New those of the new one.
+	// Old allows servers of all versions except the new one, New only those of the new one.
 	Old
 	New
 )
 
-// SideOf returns where an attempt goes. A draw from 0 to 1 decides, once for each call,
-// whether it is one of the share; further attempts of such a call go to the old version,
-// which is known to work. Without a server of the new version all go to the old one.
+// SideOf returns the side for an attempt. A random draw from 0 to 1, made once per call,
+// decides whether the call belongs to the share of the new version. Only its first attempt goes
+// there; further ones go to the old version, which is known to work. If no server of the new
+// version is known, all attempts go to the old one.
 func (r Rule) SideOf(draw float64, first, newKnown bool) Side {
 	switch r.Phase {
 	case Canary, Ramp:
@@ -66,7 +67,7 @@
 	}
 }
 
-// Allows reports whether a server of a version is on a side.
+// Allows reports whether an attempt on a side may go to a server of a version.
 func (r Rule) Allows(side Side, version string) bool {
 	if slices.Contains(r.Barred, version) {
 		return false
@@ -74,10 +75,10 @@
 	return side == Either || (side == New) == (version == r.Target)
 }
 
-// ConflictError says that another roll-out of a service is under way.
+// ConflictError reports that another roll-out of the service is in progress.
 type ConflictError struct{ Service, Target string }
 
-// Error names both.
+// Error implements error.
 func (e *ConflictError) Error() string {
 	return "a roll-out of " + e.Service + " to version " + e.Target + " is under way"
 }
