--- a/internal/spool/deliverer.go
+++ b/internal/spool/deliverer.go
@@ -11,30 +11,30 @@
 	"github.com/martenstage/martenstage/internal/wait"
 )
 
-// deliverAll is the deliverer.
-func (s *Spool) deliverAll(ctx context.Context) {
-	pause := shortestPause
+// runDeliverer delivers stored events until the context ends.
+func (s *Spool) runDeliverer(ctx context.Context) {
+	delay := minRetryDelay
 	for {
 		delivered, err := s.deliverOldest(ctx)
 		switch {
 		case err != nil:
-			s.deps.Logger.WithField("reason", err).Debug("events can't be delivered yet")
-			// Full jitter keeps nodes from coming back all at once.
-			if !wait.For(ctx, pause/2+rand.N(pause/2)) {
+			s.deps.Logger.WithField("reason", err).Debug("event delivery failed; retrying after a delay")
+			// Jitter keeps nodes from retrying at the same moment.
+			if !wait.For(ctx, delay/2+rand.N(delay/2)) {
 				return
 			}
-			pause = min(2*pause, longestPause)
+			delay = min(2*delay, maxRetryDelay)
 			continue
 		case delivered:
-			pause = shortestPause
-			if !wait.For(ctx, deliverSpacing/2+rand.N(deliverSpacing)) {
+			delay = minRetryDelay
+			if !wait.For(ctx, minDeliverInterval/2+rand.N(minDeliverInterval)) {
 				return
 			}
 			continue
 		}
-		pause = shortestPause
+		delay = minRetryDelay
 		select {
-		case <-s.arrived:
+		case <-s.notifyDeliverer:
 		case <-ctx.Done():
 			return
 		}
@@ -43,7 +43,7 @@
 
 // deliverOldest delivers one batch and reports whether there was one.
 func (s *Spool) deliverOldest(ctx context.Context) (delivered bool, err error) {
-	if err := s.tellLoss(); err != nil {
+	if err := s.reportLoss(); err != nil {
 		return false, err
 	}
 	found, err := s.nextBatch()
@@ -51,7 +51,7 @@
 		return false, err
 	}
 	if found.last == 0 {
-		return false, s.notePending()
+		return false, s.updatePending()
 	}
 	s.update(func() { s.inFlight, s.attempted = found.last, found.last })
 	ctx, cancel := context.WithTimeout(ctx, deliverTimeout)
@@ -64,23 +64,24 @@
 	if err != nil {
 		return false, err
 	}
-	return true, s.notePending()
+	return true, s.updatePending()
 }
 
-// notePending tells Flush whether everything that was stored is delivered.
-func (s *Spool) notePending() error {
+// updatePending updates, for Flush, whether stored events are left to deliver.
+func (s *Spool) updatePending() error {
 	s.mutex.Lock()
-	handled := s.handled
+	handled := s.processed
 	s.mutex.Unlock()
 	left, err := s.store.oldest(1, math.MaxUint64)
 	if err != nil {
 		return err
 	}
-	s.update(func() { s.pending = left.last != 0 || s.handled != handled })
+	s.update(func() { s.pending = left.last != 0 || s.processed != handled })
 	return nil
 }
 
-// nextBatch returns the batch whose answer was lost, or else the oldest events.
+// nextBatch returns the batch of an attempt whose outcome is unknown, or else the oldest
+// events.
 func (s *Spool) nextBatch() (batch, error) {
 	s.mutex.Lock()
 	attempted := s.attempted
@@ -92,14 +93,14 @@
 	return s.store.oldest(deliverBatch, math.MaxUint64)
 }
 
-// tellLoss turns the count of dropped events into an event of its own.
-func (s *Spool) tellLoss() error {
+// reportLoss stores an event with the count of dropped events, if there are any.
+func (s *Spool) reportLoss() error {
 	count, err := s.store.lost()
 	if err != nil || count == 0 {
 		return err
 	}
-	return s.store.tellLoss(func(count uint64) *v1.Event {
+	return s.store.reportLoss(func(count uint64) *v1.Event {
 		detail := fmt.Sprintf("%d events were dropped because the spool was full", count)
-		return s.ownEvent(journal.KindEventsDropped, count, detail)
+		return s.newEvent(journal.KindEventsDropped, count, detail)
 	})
 }
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -21,85 +21,89 @@
 )
 
 const (
-	// DefaultLimit is how many events are kept on disk; they take about 2 MB.
+	// DefaultLimit is the maximum number of events on disk; they take about 2 MB.
 	DefaultLimit = 10_000
 	ringCapacity = 4096
-	// storeBatch and deliverBatch bound what one transaction or call carries.
+	// storeBatch and deliverBatch are the maximum numbers of events in one
+	// transaction and one delivery.
 	storeBatch   = 512
 	deliverBatch = 256
-	// Pauses after a failed delivery, doubled up to the longest.
-	shortestPause = 250 * time.Millisecond
-	longestPause  = 5 * time.Second
-	storePause    = time.Second
-	// deliverTimeout bounds one delivery.
+	// The delay after a failed delivery doubles from minRetryDelay up to
+	// maxRetryDelay; a failed transaction is retried after storeRetryDelay.
+	minRetryDelay   = 250 * time.Millisecond
+	maxRetryDelay   = 5 * time.Second
+	storeRetryDelay = time.Second
+	// deliverTimeout is the timeout of one delivery.
 	deliverTimeout = 5 * time.Second
-	// deliverSpacing is the least time between two deliveries that succeeded.
-	// What is recorded meanwhile is folded, so a node in trouble sends few
-	// batches of counts in place of many events.
-	deliverSpacing = time.Second
-	// slowStore is how long one transaction may take before the disk counts as
-	// slow, and slowRepeat the least time between two events that say so.
-	slowStore  = time.Second
-	slowRepeat = time.Minute
-	// deliverGrace is how long Flush waits for control once the events are
-	// safe on disk; they are delivered after the next start otherwise.
-	deliverGrace = time.Second
+	// minDeliverInterval is the base of the delay, with jitter, after a successful
+	// delivery. Equal events recorded in the meantime are merged, so a node with
+	// many failures sends few batches of counts instead of many events.
+	minDeliverInterval = time.Second
+	// slowStoreThreshold is the duration of a transaction from which the disk is
+	// reported as slow, slowEventInterval the minimum time between two such reports.
+	slowStoreThreshold = time.Second
+	slowEventInterval  = time.Minute
+	// deliverFlushTimeout is how long Flush waits for the delivery of events that
+	// are stored on disk. Undelivered ones are delivered after the next start.
+	deliverFlushTimeout = time.Second
 )
 
-// Config describes a spool.
+// Config configures a Spool.
 type Config struct {
-	// Folder holds the spool's file.
+	// Folder is the directory of the spool's file.
 	Folder string
-	// Source and Boot name this run of the process in event ids.
+	// Source and Boot identify this incarnation of the process in event ids.
 	Source string
 	Boot   uint64
-	// Limit is how many events are kept; 0 means DefaultLimit.
+	// Limit is the maximum number of stored events; 0 means DefaultLimit.
 	Limit int
 }
 
-// Deliver hands events to the journal. It returns nil once they are stored
-// there, whether by this call or by an earlier one.
+// Deliver sends events to the journal. It returns nil once they are stored there,
+// by this call or an earlier one.
 type Deliver func(ctx context.Context, events []*v1.Event) error
 
-// Deps are the parts that a Spool works with.
+// Deps are the dependencies of a Spool.
 type Deps struct {
 	Deliver    Deliver
 	Logger     logrus.FieldLogger
 	Registerer prometheus.Registerer
 }
 
-// Spool is a durable queue of events. Run must run for it to make progress.
+// Spool is a durable queue of events. It makes progress only while Run is running.
 type Spool struct {
-	config  Config
-	deps    Deps
-	store   *store
-	waiting *ring.Ring[*v1.Event]
-	// overflow counts events that the ring dropped.
+	config   Config
+	deps     Deps
+	store    *store
+	unstored *ring.Ring[*v1.Event]
+	// overflow counts events that the ring dropped and that are not reported yet.
 	overflow atomic.Uint64
-	// recorded and stored count events that entered and left the ring.
+	// recorded counts events passed to Record; see processed.
 	recorded atomic.Uint64
 	dropped  prometheus.Counter
-	// arrived wakes the deliverer.
-	arrived chan struct{}
-	// sequence numbers the events of this run.
+	// notifyDeliverer signals the deliverer that events were stored.
+	notifyDeliverer chan struct{}
+	// sequence is the last sequence number used in an event id of this incarnation.
 	sequence atomic.Uint64
-	// slowTold and diskFailing belong to the writer.
-	slowTold    time.Time
-	diskFailing bool
-
-	mutex    sync.Mutex
-	handled  uint64
-	inFlight uint64
-	// attempted is the last number that a delivery was begun with. Control may
-	// have stored events up to it although the answer was lost, so nothing is
-	// folded into them any more and the next delivery repeats just them.
+	// lastSlowEvent and diskFailing are used by the writer only.
+	lastSlowEvent time.Time
+	diskFailing   bool
+
+	mutex sync.Mutex
+	// processed counts recorded events that were stored, delivered directly or dropped
+	// by the ring.
+	processed uint64
+	inFlight  uint64
+	// attempted is the last number of the latest batch that a delivery was attempted
+	// for. The journal may have stored events up to it although the response was lost,
+	// so nothing is merged into them any more and the next delivery repeats only them.
 	attempted uint64
 	pending   bool
 	changed   chan struct{}
 }
 
-// Open opens the spool in a folder, with the events that an earlier run left.
-// It fails if another process has it open.
+// Open opens the spool in a directory, including the undelivered events of earlier
+// incarnations. It fails if another process has it open.
 func Open(config Config, deps Deps) (*Spool, error) {
 	if config.Limit == 0 {
 		config.Limit = DefaultLimit
@@ -109,21 +113,21 @@
 		return nil, err
 	}
 	return &Spool{
-		config:  config,
-		deps:    deps,
-		store:   opened,
-		waiting: ring.New[*v1.Event](ringCapacity),
+		config:   config,
+		deps:     deps,
+		store:    opened,
+		unstored: ring.New[*v1.Event](ringCapacity),
 		dropped: promauto.With(deps.Registerer).NewCounter(prometheus.CounterOpts{
 			Name: "martenstage_events_dropped_total",
 			Help: "Events dropped because the spool was full.",
 		}),
-		arrived: make(chan struct{}, 1),
-		changed: make(chan struct{}),
+		notifyDeliverer: make(chan struct{}, 1),
+		changed:         make(chan struct{}),
 	}, nil
 }
 
-// Record takes an event. It does not block; when the ring is full the oldest
-// event in it is dropped and counted.
+// Record queues an event without blocking. If the ring is full, its oldest event is
+// dropped and counted.
 func (s *Spool) Record(event journal.Event) {
 	if event.Source == "" {
 		event.Source = s.config.Source
@@ -136,7 +140,7 @@
 		"address": event.Address, "detail": event.Detail,
 	}).Info("event recorded")
 	s.recorded.Add(1)
-	if lost := s.waiting.PushDropOldest(toWire(event)); lost > 0 {
+	if lost := s.unstored.PushDropOldest(toWire(event)); lost > 0 {
 		s.overflow.Add(uint64(lost))
 	}
 }
@@ -153,20 +157,21 @@
 	}
 }
 
-// Run stores and delivers events until the context ends, then stores what is
-// still waiting.
+// Run stores and delivers events until the context ends, then stores the events left
+// in the ring.
 func (s *Spool) Run(ctx context.Context) {
 	var delivering sync.WaitGroup
-	delivering.Go(func() { s.deliverAll(ctx) })
-	s.storeAll(ctx)
+	delivering.Go(func() { s.runDeliverer(ctx) })
+	s.runWriter(ctx)
 	delivering.Wait()
-	if err := s.store.end(); err != nil {
-		s.deps.Logger.WithField("reason", err).Warn("the next start will take this run for one that crashed")
+	if err := s.store.markStopped(); err != nil {
+		s.deps.Logger.WithField("reason", err).Warn("the clean shutdown was not recorded; the next start will report a crash")
 	}
 }
 
-// RecordStart records the start of the process, and that the run before it was
-// killed or crashed if so. Its events are on disk then, but for the last moments.
+// RecordStart records the start of the process and, if the previous incarnation was
+// killed or crashed, that too. The events of that incarnation are on disk, except for
+// those of its last moments.
 func (s *Spool) RecordStart(detail string) {
 	s.Record(journal.Event{Kind: journal.KindRestarted, Detail: detail})
 	if s.store.crashed {
@@ -180,18 +185,18 @@
 // AwaitStored waits until the events recorded so far are on disk.
 func (s *Spool) AwaitStored(ctx context.Context) error {
 	target := s.recorded.Load()
-	err := s.await(ctx, func() bool { return s.handled >= target })
+	err := s.await(ctx, func() bool { return s.processed >= target })
 	return errors.Wrap(err, "store events")
 }
 
-// Flush waits until the events recorded so far are on disk and, for a moment
-// longer, until control has them.
+// Flush waits until the events recorded so far are on disk, and then at most
+// deliverFlushTimeout until they are delivered.
 func (s *Spool) Flush(ctx context.Context) error {
 	err := s.AwaitStored(ctx)
 	if err != nil {
 		return err
 	}
-	grace, cancel := context.WithTimeout(ctx, deliverGrace)
+	grace, cancel := context.WithTimeout(ctx, deliverFlushTimeout)
 	defer cancel()
 	err = s.await(grace, func() bool { return !s.pending })
 	if err != nil {
@@ -200,11 +205,11 @@
 	return nil
 }
 
-// await waits for a condition on the fields under the lock.
-func (s *Spool) await(ctx context.Context, holds func() bool) error {
+// await waits until a condition on the fields guarded by mutex holds.
+func (s *Spool) await(ctx context.Context, condition func() bool) error {
 	for {
 		s.mutex.Lock()
-		reached, changed := holds(), s.changed
+		reached, changed := condition(), s.changed
 		s.mutex.Unlock()
 		if reached {
 			return nil
@@ -217,7 +222,7 @@
 	}
 }
 
-// update changes fields under the lock and wakes who waits for them.
+// update changes fields guarded by mutex and notifies the goroutines in await.
 func (s *Spool) update(change func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -226,16 +231,16 @@
 	s.changed = make(chan struct{})
 }
 
-// numbered reports whether an event has its id from this run, and not from its
-// recorder, who wants it kept as it is.
-func (s *Spool) numbered(event *v1.Event) bool {
+// hasOwnID reports whether the event's id was assigned by this incarnation of the
+// spool. An event recorded with an id must be kept as it is.
+func (s *Spool) hasOwnID(event *v1.Event) bool {
 	return strings.HasPrefix(event.GetId(), s.idPrefix())
 }
 
 func (s *Spool) idPrefix() string { return fmt.Sprintf("%s/%d/", s.config.Source, s.config.Boot) }
 
-// ownEvent is an event about the spool itself.
-func (s *Spool) ownEvent(kind journal.Kind, count uint64, detail string) *v1.Event {
+// newEvent returns an event about the spool itself.
+func (s *Spool) newEvent(kind journal.Kind, count uint64, detail string) *v1.Event {
 	now := timestamppb.Now()
 	return &v1.Event{
 		Id: s.nextID(), Time: now, LastTime: now, Kind: string(kind), Source: s.config.Source,
@@ -243,8 +248,8 @@
 	}
 }
 
-// nextID returns source, boot number and sequence: no two events have the same,
-// whether they reach control by way of the disk or without it.
+// nextID returns an id of source, boot number and sequence. It is unique, whether the
+// event is delivered from disk or directly.
 func (s *Spool) nextID() string {
 	return s.idPrefix() + strconv.FormatUint(s.sequence.Add(1), 10)
 }
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -21,18 +21,18 @@
 	"github.com/martenstage/martenstage/internal/journal"
 )
 
-// receiver is a journal that stores an id once and may fail or lose answers.
-type receiver struct {
+// fakeJournal stores each id once and can fail deliveries or lose responses.
+type fakeJournal struct {
 	mutex sync.Mutex
 	ids   map[string]bool
 	order []*v1.Event
-	// refuse makes deliveries fail before, loseAnswer after they are stored.
-	refuse, loseAnswer bool
+	// refuse makes deliveries fail before the events are stored, loseResponse after.
+	refuse, loseResponse bool
 }
 
-func newReceiver() *receiver { return &receiver{ids: make(map[string]bool)} }
+func newFakeJournal() *fakeJournal { return &fakeJournal{ids: make(map[string]bool)} }
 
-func (r *receiver) deliver(_ context.Context, events []*v1.Event) error {
+func (r *fakeJournal) deliver(_ context.Context, events []*v1.Event) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.refuse {
@@ -44,15 +44,16 @@
 			r.order = append(r.order, event)
 		}
 	}
-	if r.loseAnswer {
-		r.loseAnswer = false
-		return errors.New("the answer was lost")
+	if r.loseResponse {
+		r.loseResponse = false
+		return errors.New("the response was lost")
 	}
 	return nil
 }
 
-// details returns what was recorded, beyond what the spool itself says of a slow disk.
-func (r *receiver) details() []string {
+// details returns the details of the stored events, except the spool's own reports of a
+// slow disk.
+func (r *fakeJournal) details() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	recorded := lo.Reject(r.order, func(event *v1.Event, _ int) bool { return event.GetKind() == string(journal.KindDiskSlow) })
@@ -69,7 +70,7 @@
 	return spool
 }
 
-// run runs a spool and returns what stops and closes it.
+// run runs a spool and returns a function that stops and closes it.
 func run(t *testing.T, spool *Spool) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -92,17 +93,17 @@
 
 func TestEventsSurviveARestartAndALostAnswer(t *testing.T) {
 	folder := t.TempDir()
-	control := newReceiver()
+	control := newFakeJournal()
 	control.refuse = true
 	spool := open(t, folder, 1, 0, control.deliver)
 	stop := run(t, spool)
 	expected := recordNumbered(spool, 0, 300)
-	require.NoError(t, spool.Flush(t.Context()), "on disk is enough")
+	require.NoError(t, spool.Flush(t.Context()), "stored on disk, not delivered")
 	stop()
 
-	control.refuse, control.loseAnswer = false, true
+	control.refuse, control.loseResponse = false, true
 	spool = open(t, folder, 2, 0, control.deliver)
-	require.False(t, spool.store.crashed, "the run before was stopped")
+	require.False(t, spool.store.crashed, "the previous incarnation stopped cleanly")
 	stop = run(t, spool)
 	expected = append(expected, recordNumbered(spool, 300, 400)...)
 	require.Eventually(t, func() bool { return len(control.details()) == len(expected) }, 10*time.Second, time.Millisecond)
@@ -113,12 +114,12 @@
 
 func TestFullSpoolDropsOldestAndSaysSo(t *testing.T) {
 	const limit, excess = 50, 30
-	control := newReceiver()
+	control := newFakeJournal()
 	spool := open(t, t.TempDir(), 1, limit, control.deliver)
 	expected := recordNumbered(spool, 0, limit+excess)
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	spool.storeAll(ended) // stores all that waits, and nothing is being delivered
+	spool.runWriter(ended) // stores all queued events while no delivery is in flight
 	stop := run(t, spool)
 	require.Eventually(t, func() bool { return len(control.details()) == limit+1 }, 10*time.Second, time.Millisecond)
 	stop()
@@ -128,8 +129,8 @@
 	require.EqualValues(t, excess, loss.GetCount())
 }
 
-func TestEqualEventsAreFolded(t *testing.T) {
-	control := newReceiver()
+func TestEqualEventsAreMerged(t *testing.T) {
+	control := newFakeJournal()
 	spool := open(t, t.TempDir(), 1, 0, control.deliver)
 	begun := time.Unix(1_000, 0)
 	for second := range 5 {
@@ -143,11 +144,11 @@
 	require.Equal(t, begun.Add(4*time.Second).UTC(), control.order[0].GetLastTime().AsTime())
 }
 
-// TestEqualEventsFoldOnDisk records the same event again and again while control
-// is away: those of one window become one, and nothing is counted into a batch
-// that control may know already.
-func TestEqualEventsFoldOnDisk(t *testing.T) {
-	control := newReceiver()
+// TestEqualEventsAreMergedOnDisk records equal events while the journal is unavailable.
+// Those of one window must be merged, and none may be merged into a batch that the
+// journal may already have.
+func TestEqualEventsAreMergedOnDisk(t *testing.T) {
+	control := newFakeJournal()
 	control.refuse = true
 	spool := open(t, t.TempDir(), 1, 0, control.deliver)
 	begun := time.Unix(10_000, 0)
@@ -155,17 +156,17 @@
 		spool.Record(journal.Event{Kind: journal.KindReplicaEjected, Address: "127.0.0.1:1", Time: begun.Add(after)})
 		ended, cancel := context.WithCancel(t.Context())
 		cancel()
-		spool.storeAll(ended) // one transaction an event
+		spool.runWriter(ended) // one transaction per event
 	}
 	const second = time.Second
 	for number := range 5 {
 		record(time.Duration(number) * second)
 	}
-	record(shortestWindow) // a new episode
+	record(minWindow) // outside the window
 	_, err := spool.deliverOldest(t.Context())
 	require.Error(t, err)
-	record(shortestWindow + second) // the attempt may have reached control
-	record(shortestWindow + 2*second)
+	record(minWindow + second) // the attempted delivery may have reached the journal
+	record(minWindow + 2*second)
 	control.refuse = false
 	for range 2 {
 		_, err := spool.deliverOldest(t.Context())
@@ -177,17 +178,17 @@
 	require.Equal(t, begun.Add(4*second).UTC(), control.order[0].GetLastTime().AsTime())
 }
 
-// TestFailedDiskDoesNotSilence closes the file under the spool: events still
-// reach control, and one of them says that the disk failed.
-func TestFailedDiskDoesNotSilence(t *testing.T) {
-	control := newReceiver()
+// TestEventsAreDeliveredDespiteFailedDisk closes the spool's file to make writes fail.
+// Events must still be delivered, and one of them must report the failed disk.
+func TestEventsAreDeliveredDespiteFailedDisk(t *testing.T) {
+	control := newFakeJournal()
 	spool := open(t, t.TempDir(), 1, 0, control.deliver)
 	require.NoError(t, spool.store.close())
 	ended, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	for number := range 2 {
 		recordNumbered(spool, number, number+1)
-		spool.storeBatch(ended, spool.gather(nil))
+		spool.storeBatch(ended, spool.drainRing(nil))
 	}
 	kinds := lo.Map(control.order, func(event *v1.Event, _ int) string { return event.GetKind() })
 	ejected, failed := string(journal.KindReplicaEjected), string(journal.KindDiskFailed)
@@ -198,8 +199,8 @@
 
 const killedFolder = "SPOOL_TEST_FOLDER"
 
-// TestEventsSurviveAKill starts this test again as a process that tells of
-// each event that Flush promised to be on disk, and kills it amid its work.
+// TestEventsSurviveAKill runs this test as a child process, which prints the number of
+// each event once it is stored on disk, and kills it while it records events.
 func TestEventsSurviveAKill(t *testing.T) {
 	if folder := os.Getenv(killedFolder); folder != "" {
 		recordUntilKilled(t, folder)
@@ -218,27 +219,27 @@
 		require.Equal(t, promised, number)
 	}
 	require.NoError(t, process.Process.Kill())
-	_ = process.Wait() // it was killed, so it reports a failure
+	_ = process.Wait() // returns an error because the process was killed
 
-	control := newReceiver()
+	control := newFakeJournal()
 	spool := open(t, folder, 2, 0, control.deliver)
 	require.True(t, spool.store.crashed)
 	stop := run(t, spool)
 	require.Eventually(t, func() bool { return len(control.details()) >= promised }, 10*time.Second, time.Millisecond)
 	stop()
 	for number, detail := range control.details() {
-		require.Equal(t, strconv.Itoa(number), detail, "in order, none lost, none doubled")
+		require.Equal(t, strconv.Itoa(number), detail, "in order, none lost, none duplicated")
 	}
 }
 
 func recordUntilKilled(t *testing.T, folder string) {
-	control := newReceiver()
+	control := newFakeJournal()
 	control.refuse = true
 	spool := open(t, folder, 1, 0, control.deliver)
 	run(t, spool)
 	for number := 0; ; number++ {
 		recordNumbered(spool, number, number+1)
-		if err := spool.await(t.Context(), func() bool { return spool.handled > uint64(number) }); err != nil {
+		if err := spool.await(t.Context(), func() bool { return spool.processed > uint64(number) }); err != nil {
 			return
 		}
 		fmt.Println(number)
--- a/internal/spool/store.go
+++ b/internal/spool/store.go
@@ -19,30 +19,31 @@
 	fileName   = "events.db"
 	folderMode = 0o700
 	fileMode   = 0o600
-	// lockTimeout is how long another process may take to let go of the file.
+	// lockTimeout is how long to wait for another process to release the file lock.
 	lockTimeout = time.Second
-	// maxNewest bounds the memory for folding.
-	maxNewest = 4096
+	// maxLatest bounds the size of store.latest.
+	maxLatest = 4096
 )
 
 var (
 	eventsBucket = []byte("events")
-	// lossBucket counts events that were dropped and not yet told of.
+	// lossBucket holds the number of dropped events not reported yet.
 	lossBucket = []byte("loss")
 	lossKey    = []byte("count")
-	// runBucket says whether a run is under way, or ended by a kill.
+	// runBucket holds runningKey from Open to a clean shutdown, so the key is still
+	// present after a crash or a kill.
 	runBucket  = []byte("run")
 	runningKey = []byte("running")
 )
 
-// store is the part on disk. Keys are sequence numbers, which go on across
-// restarts.
+// store is the event database on disk. Keys are sequence numbers, which continue
+// across restarts.
 type store struct {
 	database *bbolt.DB
-	// newest is where the latest stored event of each sameness is. It is a hint
-	// that is checked, and is used inside of writing transactions only.
-	newest map[journal.Sameness]uint64
-	// crashed says that the run before did not end as planned.
+	// latest maps each equality key to the number of its latest stored event. It is a
+	// hint that is verified on use, and is accessed in write transactions only.
+	latest map[journal.Sameness]uint64
+	// crashed reports that the previous incarnation did not shut down cleanly.
 	crashed bool
 }
 
@@ -58,15 +59,15 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "open %s", path)
 	}
-	opened := &store{database: database, newest: make(map[journal.Sameness]uint64)}
-	if err := opened.begin(); err != nil {
+	opened := &store{database: database, latest: make(map[journal.Sameness]uint64)}
+	if err := opened.markRunning(); err != nil {
 		return nil, errors.Join(errors.Wrapf(err, "prepare %s", path), database.Close())
 	}
 	return opened, nil
 }
 
-// begin makes the buckets and notes that a run is under way.
-func (s *store) begin() error {
+// markRunning creates the buckets and records that the process is running.
+func (s *store) markRunning() error {
 	return s.database.Update(func(transaction *bbolt.Tx) error {
 		_, eventsErr := transaction.CreateBucketIfNotExists(eventsBucket)
 		_, lossErr := transaction.CreateBucketIfNotExists(lossBucket)
@@ -79,42 +80,42 @@
 	})
 }
 
-// end notes that the run ended as planned.
-func (s *store) end() error {
+// markStopped records a clean shutdown.
+func (s *store) markStopped() error {
 	return errors.Wrap(s.database.Update(func(transaction *bbolt.Tx) error {
 		return transaction.Bucket(runBucket).Delete(runningKey)
-	}), "note the planned end")
+	}), "record the clean shutdown")
 }
 
-// addition is what one transaction stores.
-type addition struct {
+// writeBatch is the input of one write transaction.
+type writeBatch struct {
 	events []*v1.Event
-	// lost counts events that were dropped before they came here.
+	// lost is the number of events that the ring dropped.
 	lost uint64
-	// limit is how many events are kept, and keep the number up to which they
+	// limit is the maximum number of stored events. Events up to the number inFlight
 	// are being delivered and must not be dropped.
-	limit int
-	keep  uint64
-	// foldAfter is the number from which on stored events may still be changed:
-	// those up to it may be known to control.
-	foldAfter uint64
-	// foldable tells events that may be counted into an equal one.
-	foldable func(event *v1.Event) bool
+	limit    int
+	inFlight uint64
+	// mergeAfter is the number after which stored events may still be changed. The
+	// journal may have those up to it.
+	mergeAfter uint64
+	// mergeable reports whether an event may be merged into an equal one.
+	mergeable func(event *v1.Event) bool
 }
 
-// add stores events in one synced transaction and returns how many old ones
-// were dropped for them.
-func (s *store) add(added addition) (dropped uint64, err error) {
+// add stores events in one synced transaction and returns how many old events it
+// dropped to stay within the limit.
+func (s *store) add(added writeBatch) (dropped uint64, err error) {
 	err = s.database.Update(func(transaction *bbolt.Tx) error {
 		events := transaction.Bucket(eventsBucket)
 		loss := transaction.Bucket(lossBucket)
-		window := foldWindow(count(events), added.limit)
+		window := mergeWindow(count(events), added.limit)
 		for _, event := range added.events {
-			if err := s.putOrFold(events, event, added, window); err != nil {
+			if err := s.putOrMerge(events, event, added, window); err != nil {
 				return err
 			}
 		}
-		dropped, err = dropOldest(events, added.limit, added.keep)
+		dropped, err = dropOldest(events, added.limit, added.inFlight)
 		if err != nil {
 			return err
 		}
@@ -124,15 +125,15 @@
 	return dropped, errors.Wrap(err, "store events")
 }
 
-// putOrFold counts an event into an equal one that is not delivered yet, or
-// stores it.
-func (s *store) putOrFold(events *bbolt.Bucket, event *v1.Event, added addition, window time.Duration) error {
+// putOrMerge merges an event into an equal one that no delivery was attempted for, or
+// else stores it.
+func (s *store) putOrMerge(events *bbolt.Bucket, event *v1.Event, added writeBatch, window time.Duration) error {
 	key := journal.SamenessOf(event)
-	if number := s.newest[key]; number > added.foldAfter && added.foldable(event) {
+	if number := s.latest[key]; number > added.mergeAfter && added.mergeable(event) {
 		earlier := &v1.Event{}
 		stored := events.Get(encodeNumber(number))
-		if stored != nil && proto.Unmarshal(stored, earlier) == nil && joins(earlier, event, window) {
-			join(earlier, event)
+		if stored != nil && proto.Unmarshal(stored, earlier) == nil && withinWindow(earlier, event, window) {
+			merge(earlier, event)
 			return putAt(events, number, earlier)
 		}
 	}
@@ -140,11 +141,11 @@
 	if err != nil {
 		return err
 	}
-	if added.foldable(event) {
-		if len(s.newest) >= maxNewest {
-			clear(s.newest)
+	if added.mergeable(event) {
+		if len(s.latest) >= maxLatest {
+			clear(s.latest)
 		}
-		s.newest[key] = number
+		s.latest[key] = number
 	}
 	return putAt(events, number, event)
 }
@@ -157,8 +158,8 @@
 	return events.Put(encodeNumber(number), encoded)
 }
 
-// count returns how many events are stored, but for gaps of a batch that is
-// being delivered.
+// count returns the number of stored events. It includes events that dropOldest deleted
+// after a batch in flight.
 func count(events *bbolt.Bucket) int {
 	oldest, _ := events.Cursor().First()
 	if oldest == nil {
@@ -167,30 +168,30 @@
 	return int(events.Sequence()-decodeNumber(oldest)) + 1
 }
 
-// dropOldest deletes the oldest events beyond a limit, except those up to keep.
-func dropOldest(events *bbolt.Bucket, limit int, keep uint64) (uint64, error) {
+// dropOldest deletes the oldest events beyond a limit, except those up to inFlight.
+func dropOldest(events *bbolt.Bucket, limit int, inFlight uint64) (uint64, error) {
 	cursor := events.Cursor()
 	excess := count(events) - limit
 	var dropped uint64
-	key, _ := cursor.Seek(encodeNumber(keep + 1))
+	key, _ := cursor.Seek(encodeNumber(inFlight + 1))
 	for ; excess > 0 && key != nil; excess-- {
 		if err := cursor.Delete(); err != nil {
 			return dropped, err
 		}
 		dropped++
-		key, _ = cursor.Seek(encodeNumber(keep + 1))
+		key, _ = cursor.Seek(encodeNumber(inFlight + 1))
 	}
 	return dropped, nil
 }
 
-// batch is a run of stored events, oldest first, and the number of the last.
+// batch holds consecutive stored events, oldest first, and the number of the last one.
 type batch struct {
 	events []*v1.Event
 	last   uint64
 }
 
-// oldest returns up to limit events, none beyond a number. An entry that can't be decoded is left
-// out; it is deleted with the batch.
+// oldest returns up to limit of the oldest events, up to the number upTo. An entry that
+// can't be decoded is left out; it is deleted with the batch.
 func (s *store) oldest(limit int, upTo uint64) (batch, error) {
 	var found batch
 	err := s.database.View(func(transaction *bbolt.Tx) error {
@@ -207,7 +208,7 @@
 	return found, errors.Wrap(err, "read events")
 }
 
-// removeTo deletes the events up to a number.
+// removeTo deletes the events up to and including the number last.
 func (s *store) removeTo(last uint64) error {
 	return errors.Wrap(s.database.Update(func(transaction *bbolt.Tx) error {
 		cursor := transaction.Bucket(eventsBucket).Cursor()
@@ -220,8 +221,8 @@
 	}), "delete events")
 }
 
-// tellLoss turns the count of dropped events into an event of its own.
-func (s *store) tellLoss(describe func(count uint64) *v1.Event) error {
+// reportLoss replaces the count of dropped events by an event that describes it.
+func (s *store) reportLoss(describe func(count uint64) *v1.Event) error {
 	return errors.Wrap(s.database.Update(func(transaction *bbolt.Tx) error {
 		loss := transaction.Bucket(lossBucket)
 		count := decodeNumber(loss.Get(lossKey))
@@ -240,7 +241,7 @@
 	}), "store the count of dropped events")
 }
 
-// lost returns how many dropped events were not told of yet.
+// lost returns the number of dropped events not reported yet.
 func (s *store) lost() (count uint64, err error) {
 	err = s.database.View(func(transaction *bbolt.Tx) error {
 		count = decodeNumber(transaction.Bucket(lossBucket).Get(lossKey))
--- a/internal/spool/writer.go
+++ b/internal/spool/writer.go
@@ -10,14 +10,14 @@
 	"github.com/martenstage/martenstage/internal/wait"
 )
 
-// storeAll is the writer.
-func (s *Spool) storeAll(ctx context.Context) {
+// runWriter stores events from the ring until the context ends, then those left in it.
+func (s *Spool) runWriter(ctx context.Context) {
 	for {
 		select {
-		case first := <-s.waiting.Items():
-			s.storeBatch(ctx, s.gather(first))
+		case first := <-s.unstored.Items():
+			s.storeBatch(ctx, s.drainRing(first))
 		case <-ctx.Done():
-			for rest := s.gather(nil); len(rest) > 0; rest = s.gather(nil) {
+			for rest := s.drainRing(nil); len(rest) > 0; rest = s.drainRing(nil) {
 				s.storeBatch(ctx, rest)
 			}
 			return
@@ -25,14 +25,16 @@
 	}
 }
 
-func (s *Spool) gather(first *v1.Event) []*v1.Event {
+// drainRing returns first, unless it is nil, and the events in the ring, at most
+// storeBatch in all.
+func (s *Spool) drainRing(first *v1.Event) []*v1.Event {
 	var events []*v1.Event
 	if first != nil {
 		events = append(events, first)
 	}
 	for len(events) < storeBatch {
 		select {
-		case event := <-s.waiting.Items():
+		case event := <-s.unstored.Items():
 			events = append(events, event)
 		default:
 			return events
@@ -41,47 +43,47 @@
 	return events
 }
 
-// storeBatch stores events, and tries again until that succeeds or the context
-// ends. Meanwhile the ring takes events and drops the oldest. While the disk
-// fails, events go to control without it: a node whose disk is broken or full
-// must be able to say so.
+// storeBatch stores events and retries until that succeeds or the context ends.
+// Meanwhile the ring accepts events and drops the oldest ones. While the disk fails,
+// events are delivered directly, because a node whose disk is broken or full must be
+// able to report it.
 func (s *Spool) storeBatch(ctx context.Context, events []*v1.Event) {
-	left := uint64(len(events))
-	folded := s.identified(fold(events, shortestWindow))
+	count := uint64(len(events))
+	merged := s.assignIDs(mergeEqual(events, minWindow))
 	lost := s.overflow.Swap(0)
 	for {
-		err := s.tryStore(folded, lost)
+		err := s.tryStore(merged, lost)
 		if err == nil {
 			s.diskFailing = false
-			s.update(func() { s.handled += left + lost; s.pending = true })
-			wait.Notify(s.arrived)
+			s.update(func() { s.processed += count + lost; s.pending = true })
+			wait.Notify(s.notifyDeliverer)
 			return
 		}
 		s.deps.Logger.WithField("reason", err).Error("events can't be stored")
 		if !s.diskFailing {
 			s.diskFailing = true
-			folded = append(folded, s.ownEvent(journal.KindDiskFailed, 1, "events can't be stored: "+err.Error()))
+			merged = append(merged, s.newEvent(journal.KindDiskFailed, 1, "events can't be stored: "+err.Error()))
 		}
-		if s.deliverDirectly(ctx, folded) {
-			s.overflow.Add(lost) // told of once the disk works again
-			s.update(func() { s.handled += left })
+		if s.deliverDirectly(ctx, merged) {
+			s.overflow.Add(lost) // reported once the disk works again
+			s.update(func() { s.processed += count })
 			return
 		}
-		if !wait.For(ctx, storePause) {
+		if !wait.For(ctx, storeRetryDelay) {
 			return
 		}
 	}
 }
 
-// tryStore is one attempt to store a batch. It adds an event when the disk was
+// tryStore makes one attempt to store a batch. It records an event if the disk was
 // slow.
 func (s *Spool) tryStore(events []*v1.Event, lost uint64) error {
 	s.mutex.Lock()
 	keep, attempted := s.inFlight, s.attempted
 	s.mutex.Unlock()
 	begun := time.Now()
-	dropped, err := s.store.add(addition{
-		events: events, lost: lost, limit: s.config.Limit, keep: keep, foldAfter: attempted, foldable: s.numbered,
+	dropped, err := s.store.add(writeBatch{
+		events: events, lost: lost, limit: s.config.Limit, inFlight: keep, mergeAfter: attempted, mergeable: s.hasOwnID,
 	})
 	if err != nil {
 		return err
@@ -89,8 +91,8 @@
 	s.dropped.Add(float64(dropped + lost))
 	s.deps.Logger.WithField("events", len(events)).Debug("events stored")
 	took := time.Since(begun)
-	if took >= slowStore && begun.Sub(s.slowTold) >= slowRepeat {
-		s.slowTold = begun
+	if took >= slowStoreThreshold && begun.Sub(s.lastSlowEvent) >= slowEventInterval {
+		s.lastSlowEvent = begun
 		s.Record(journal.Event{
 			Kind: journal.KindDiskSlow, Detail: fmt.Sprintf("storing events took %s", took.Round(time.Millisecond)),
 		})
@@ -103,13 +105,13 @@
 	defer cancel()
 	err := s.deps.Deliver(ctx, events)
 	if err != nil {
-		s.deps.Logger.WithField("reason", err).Debug("events can't be delivered without the disk")
+		s.deps.Logger.WithField("reason", err).Debug("direct delivery of events failed")
 	}
 	return err == nil
 }
 
-// identified gives events without an id the next ones of this run.
-func (s *Spool) identified(events []*v1.Event) []*v1.Event {
+// assignIDs assigns ids of this incarnation to events that have none.
+func (s *Spool) assignIDs(events []*v1.Event) []*v1.Event {
 	for _, event := range events {
 		if event.GetId() == "" {
 			event.Id = s.nextID()
