--- a/internal/configdelta/configdelta.go
+++ b/internal/configdelta/configdelta.go
@@ -1,9 +1,8 @@
-// Package configdelta makes the differences by which a configuration change is
-// logged, and turns them back into texts and plans: a text by textdelta, a plan
-// by plan.Delta.
+// Package configdelta computes and applies the deltas in which configuration changes
+// are logged. Texts use package textdelta, plans use plan.Delta.
 //
-// The package has no I/O and no state. The leader makes differences; every
-// voter applies those of plans, and those of texts when somebody reads one.
+// The package has no I/O and no state. The leader computes deltas; every voter
+// applies those of plans, and those of texts only when a text is read.
 package configdelta
 
 import (
@@ -15,31 +14,31 @@
 	"github.com/martenstage/martenstage/internal/textdelta"
 )
 
-// Configuration is a text with the plan that it compiles to.
+// Configuration is a configuration text and its compiled plan.
 type Configuration struct {
 	Text string
 	Plan *plan.Plan
 }
 
-// Delta is the difference between two configurations, encoded.
+// Delta holds the encoded deltas between two configurations.
 type Delta struct {
 	Text []byte
 	Plan []byte
 }
 
-// Size returns the bytes of both differences.
+// Size returns the sizes of both deltas in bytes.
 func (d Delta) Size() (text, plan int) { return len(d.Text), len(d.Plan) }
 
-// Make returns the difference of next from base, which has a revision. It
-// returns false when the plan's difference does not lead to the plan, so that a
-// fault in making one costs bytes, and no voter its way along the log. Source
-// lines of statements, which serve messages only, stay those of base where
-// nothing else of a route changed.
+// Make returns the delta from base, which has the given revision, to next. It
+// returns false if applying the plan delta does not yield next's plan, so that a
+// fault in computing one costs only the bytes of a full revision and cannot stop a
+// voter from applying the log. The source lines of statements, which are used only
+// in messages, stay those of base where nothing else of a route changed.
 func Make(revision uint64, base, next Configuration) (Delta, bool, error) {
 	delta := plan.Delta(base.Plan, next.Plan)
 	delta.BaseRevision = revision
-	reached, err := plan.ApplyDelta(base.Plan, delta)
-	if err != nil || !plan.Equal(reached, next.Plan) {
+	result, err := plan.ApplyDelta(base.Plan, delta)
+	if err != nil || !plan.Equal(result, next.Plan) {
 		return Delta{}, false, nil
 	}
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(delta)
@@ -50,8 +49,7 @@
 	return Delta{Text: text, Plan: encoded}, err == nil, err
 }
 
-// ApplyPlan returns the plan that a difference leads to from the plan of a
-// revision.
+// ApplyPlan applies an encoded plan delta to base, the plan of the given revision.
 func ApplyPlan(base *plan.Plan, revision uint64, encoded []byte) (*plan.Plan, error) {
 	delta := &v1.PlanDelta{}
 	if err := proto.Unmarshal(encoded, delta); err != nil {
@@ -63,8 +61,8 @@
 	return plan.ApplyDelta(base, delta)
 }
 
-// ApplyPlans applies the differences that lead from base to the plan of a
-// revision, one for each revision.
+// ApplyPlans applies consecutive plan deltas, one per revision, that lead from base
+// to the plan of the given revision.
 func ApplyPlans(base *plan.Plan, revision uint64, deltas [][]byte) (*plan.Plan, error) {
 	first := revision - uint64(len(deltas))
 	for index, delta := range deltas {
--- a/internal/configdelta/configdelta_test.go
+++ b/internal/configdelta/configdelta_test.go
@@ -11,7 +11,7 @@
 	"github.com/martenstage/martenstage/internal/textdelta"
 )
 
-const site = `service s {
+const siteText = `service s {
 	slots 2
 	connections 70
 	generation 1 {
@@ -34,17 +34,17 @@
 }
 `
 
-func compiled(t *testing.T, text string) Configuration {
+func compile(t *testing.T, text string) Configuration {
 	made, err := policy.Compile("site", []byte(text))
 	require.NoError(t, err)
 	return Configuration{Text: text, Plan: made}
 }
 
-// TestEveryPartOfAConfigurationTravels changes one part after the other and
-// applies the differences in a chain.
-func TestEveryPartOfAConfigurationTravels(t *testing.T) {
-	second := strings.ReplaceAll(strings.ReplaceAll(site[strings.Index(site, "policy p"):], "route r", "route q"), "policy p", "policy n")
-	chain := []Configuration{compiled(t, site)}
+// TestDeltasCoverEveryPart changes each part of a configuration in turn and checks
+// that the chain of deltas restores the text and the plan.
+func TestDeltasCoverEveryPart(t *testing.T) {
+	second := strings.ReplaceAll(strings.ReplaceAll(siteText[strings.Index(siteText, "policy p"):], "route r", "route q"), "policy p", "policy n")
+	chain := []Configuration{compile(t, siteText)}
 	edits := [][2]string{
 		{"127.0.0.1", "127.0.0.3"}, {"slots 2", "slots 3\n\thedge budget 5%"}, {"group g", "group h"}, {"generation 1", "generation 4"},
 		{"\t}\n}\n", "\t}\n\tgeneration 5 {\n\t\tgroup h {\n\t\t\treplica 127.0.0.3:7000 zone a\n\t\t}\n\t}\n}\n"},
@@ -53,18 +53,18 @@
 	var plans, texts [][]byte
 	for index, edit := range edits {
 		last := chain[len(chain)-1]
-		next := compiled(t, strings.Replace(last.Text, edit[0], edit[1], 1))
+		next := compile(t, strings.Replace(last.Text, edit[0], edit[1], 1))
 		require.NotEqual(t, last.Text, next.Text)
 		delta, made, err := Make(uint64(index+1), last, next)
 		require.NoError(t, err)
 		require.True(t, made)
 		chain, plans, texts = append(chain, next), append(plans, delta.Plan), append(texts, delta.Text)
 
-		reached, err := ApplyPlans(chain[0].Plan, uint64(index+2), plans)
+		result, err := ApplyPlans(chain[0].Plan, uint64(index+2), plans)
 		require.NoError(t, err)
-		require.True(t, plan.Equal(next.Plan, reached), "edit %d", index)
-		require.NoError(t, plan.Validate(reached))
-		text, err := textdelta.Rebuild([]byte(site), texts)
+		require.True(t, plan.Equal(next.Plan, result), "edit %d", index)
+		require.NoError(t, plan.Validate(result))
+		text, err := textdelta.Rebuild([]byte(siteText), texts)
 		require.NoError(t, err)
 		require.Equal(t, next.Text, string(text))
 	}
