--- a/internal/textdelta/doc.go
+++ b/internal/textdelta/doc.go
@@ -1,9 +1,8 @@
-// Package textdelta keeps texts as differences. A delta is a list of copies
-// from a base text and of inserted bytes, as in VCDIFF (RFC 3284) but by whole
-// lines: Make finds them, Apply and Rebuild turn them back into the text byte
-// for byte.
+// Package textdelta encodes a text as a delta from a base text. A delta is a list of
+// copy and insert instructions, as in VCDIFF (RFC 3284) but line by line. Make
+// computes a delta, Apply and Rebuild restore the text byte for byte.
 //
-// A delta carries the length and the hash of its base and of its result, so
-// that one which is damaged, or applied to another text, is an error and never
-// a wrong text. The package has no I/O and no state.
+// A delta contains the length and hash of its base and of its result, so applying a
+// corrupt delta, or one for another base, is an error and never yields a wrong text.
+// The package has no I/O and no state.
 package textdelta
--- a/internal/textdelta/encoding.go
+++ b/internal/textdelta/encoding.go
@@ -9,23 +9,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxTextBytes bounds the texts that deltas lead to.
+// MaxTextBytes is the maximum size of a text.
 const MaxTextBytes = 64 << 20
 
-// Formats of an encoded delta, its first byte. Deltas are stored, so a format
-// never changes its meaning.
+// Formats of an encoded delta, stored in its first byte. Deltas are persistent, so the
+// meaning of a format never changes.
 const (
 	formatPlain    = 1
 	formatDeflated = 2
 )
 
-// deflateFrom is the size in bytes from which compressing a delta is tried.
-const deflateFrom = 256
+// minDeflateBytes is the minimum size of a delta to try compression.
+const minDeflateBytes = 256
 
-// maxEncodedBytes bounds an encoded delta without compression.
+// maxEncodedBytes is the maximum size of a decompressed delta.
 const maxEncodedBytes = 2 * MaxTextBytes
 
-// header names the two texts of a delta.
+// header identifies the base and the result of a delta.
 type header struct {
 	baseLength   int
 	baseHash     uint64
@@ -33,33 +33,34 @@
 	resultHash   uint64
 }
 
-// step makes one part of the result: a copy of the base when inserted is nil.
-type step struct {
-	from     int
-	length   int
-	inserted []byte
+// instruction produces one part of the result. It copies from the base if inserted is
+// nil.
+type instruction struct {
+	baseOffset int
+	length     int
+	inserted   []byte
 }
 
-// encode writes a delta: the header, then for each step its length times two,
-// plus one for an insertion; then either the bytes, or the distance of the copy
-// from the end of the one before.
-func encode(about header, steps []step) ([]byte, error) {
-	body := binary.AppendUvarint(nil, uint64(about.baseLength))
-	body = binary.BigEndian.AppendUint64(body, about.baseHash)
-	body = binary.AppendUvarint(body, uint64(about.resultLength))
-	body = binary.BigEndian.AppendUint64(body, about.resultHash)
-	copied := 0
-	for _, part := range steps {
+// encode encodes a delta: the header, then for each instruction its length times two,
+// plus one for an insertion, followed by the inserted bytes or by the distance of the
+// copy from the end of the previous copy.
+func encode(head header, instructions []instruction) ([]byte, error) {
+	body := binary.AppendUvarint(nil, uint64(head.baseLength))
+	body = binary.BigEndian.AppendUint64(body, head.baseHash)
+	body = binary.AppendUvarint(body, uint64(head.resultLength))
+	body = binary.BigEndian.AppendUint64(body, head.resultHash)
+	copyEnd := 0
+	for _, part := range instructions {
 		if part.inserted != nil {
 			body = binary.AppendUvarint(body, uint64(part.length)<<1|1)
 			body = append(body, part.inserted...)
 			continue
 		}
 		body = binary.AppendUvarint(body, uint64(part.length)<<1)
-		body = binary.AppendVarint(body, int64(part.from-copied))
-		copied = part.from + part.length
+		body = binary.AppendVarint(body, int64(part.baseOffset-copyEnd))
+		copyEnd = part.baseOffset + part.length
 	}
-	if len(body) >= deflateFrom {
+	if len(body) >= minDeflateBytes {
 		deflated, err := deflate(body)
 		if err != nil || len(deflated) < len(body) {
 			return deflated, err
@@ -83,8 +84,8 @@
 	return packed.Bytes(), nil
 }
 
-// body returns an encoded delta without its format, decompressed.
-func body(delta []byte) ([]byte, error) {
+// decompress returns the content of an encoded delta without the format byte.
+func decompress(delta []byte) ([]byte, error) {
 	if len(delta) == 0 {
 		return nil, errors.New("damaged delta: it is empty")
 	}
@@ -101,24 +102,24 @@
 		}
 		return inflated, nil
 	default:
-		return nil, errors.Newf("delta of the unknown format %d, damaged or written by a newer version of the program", delta[0])
+		return nil, errors.Newf("delta has unknown format %d: it is damaged or was written by a newer version of the program", delta[0])
 	}
 }
 
-// decoder reads an encoded delta; the first error stays.
+// decoder reads an encoded delta and keeps the first error.
 type decoder struct {
 	rest []byte
 	err  error
 }
 
 func newDecoder(delta []byte) *decoder {
-	rest, err := body(delta)
+	rest, err := decompress(delta)
 	return &decoder{rest: rest, err: err}
 }
 
-func (d *decoder) fail(what string) {
+func (d *decoder) fail(reason string) {
 	if d.err == nil {
-		d.err = errors.Newf("damaged delta: %s", what)
+		d.err = errors.Newf("damaged delta: %s", reason)
 	}
 	d.rest = nil
 }
@@ -151,7 +152,7 @@
 	return value
 }
 
-// length reads a number of bytes.
+// length reads a length in bytes.
 func (d *decoder) length() int {
 	value := d.uvarint()
 	if value > MaxTextBytes {
@@ -161,32 +162,32 @@
 	return int(value)
 }
 
-// step reads the next step; copied is where the copy before it ended. It
-// returns false at the end of the delta or at an error.
-func (d *decoder) step(copied int) (step, bool) {
+// nextInstruction reads an instruction; copyEnd is the end of the previous copy in the
+// base. It returns false at the end of the delta or on an error.
+func (d *decoder) nextInstruction(copyEnd int) (instruction, bool) {
 	if d.err != nil || len(d.rest) == 0 {
-		return step{}, false
+		return instruction{}, false
 	}
 	value := d.uvarint()
 	if value>>1 > MaxTextBytes {
 		d.fail("a step is too long")
-		return step{}, false
+		return instruction{}, false
 	}
 	length := int(value >> 1)
 	if value&1 == 0 {
 		distance, size := binary.Varint(d.rest)
 		if size <= 0 || distance > MaxTextBytes || distance < -MaxTextBytes {
-			d.fail("a copy has no place")
-			return step{}, false
+			d.fail("the offset of a copy is invalid")
+			return instruction{}, false
 		}
 		d.rest = d.rest[size:]
-		return step{from: copied + int(distance), length: length}, d.err == nil
+		return instruction{baseOffset: copyEnd + int(distance), length: length}, d.err == nil
 	}
 	if length > len(d.rest) {
 		d.fail("inserted bytes are cut off")
-		return step{}, false
+		return instruction{}, false
 	}
 	inserted := d.rest[:length:length]
 	d.rest = d.rest[length:]
-	return step{inserted: inserted, length: length}, true
+	return instruction{inserted: inserted, length: length}, true
 }
--- a/internal/textdelta/make.go
+++ b/internal/textdelta/make.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Make returns the delta that leads from base to next. Equal arguments give
-// equal deltas. The work is in proportion to what lies between the first and
-// the last difference.
+// Make returns the delta from base to next. Equal arguments give equal deltas. Apart
+// from finding the common prefix and suffix, the cost is proportional to the range
+// between the first and the last difference.
 func Make(base, next string) ([]byte, error) {
 	first := commonPrefix(base, next)
 	last := commonSuffix(base[first:], next[first:])
@@ -21,22 +21,21 @@
 	return encode(header{
 		baseLength: len(base), baseHash: xxhash.Sum64String(base),
 		resultLength: len(next), resultHash: xxhash.Sum64String(next),
-	}, found.steps)
+	}, found.instructions)
 }
 
-// commonPrefix returns the length of the whole lines that both texts begin
-// with.
+// commonPrefix returns the length of the common prefix in complete lines.
 func commonPrefix(left, right string) int {
-	length := sharedLength(left, right)
+	length := commonPrefixBytes(left, right)
 	if length == len(left) && length == len(right) {
 		return length
 	}
 	return strings.LastIndexByte(left[:length], '\n') + 1
 }
 
-// sharedLength returns how many leading bytes are equal. It compares blocks
-// first, which the runtime does many bytes at a time.
-func sharedLength(left, right string) int {
+// commonPrefixBytes returns the length of the common prefix in bytes. It compares
+// blocks first, because the runtime compares many bytes at a time.
+func commonPrefixBytes(left, right string) int {
 	const block = 4096
 	length, most := 0, min(len(left), len(right))
 	for length+block <= most && left[length:length+block] == right[length:length+block] {
@@ -48,7 +47,7 @@
 	return length
 }
 
-// commonSuffix returns the length of the whole lines that both texts end with.
+// commonSuffix returns the length of the common suffix in complete lines.
 func commonSuffix(left, right string) int {
 	const block = 4096
 	length, most := 0, min(len(left), len(right))
@@ -62,8 +61,8 @@
 	if length == len(left) && length == len(right) {
 		return length
 	}
-	// The part after the first line break in the shared end: before it the
-	// lines may begin differently.
+	// The lines that contain the start of the common suffix may differ before it, so
+	// only the part after its first line break counts.
 	shared := tail(left, 0, length)
 	cut := strings.IndexByte(shared, '\n')
 	if cut < 0 {
@@ -72,25 +71,25 @@
 	return length - cut - 1
 }
 
-// lines are the lines of a part of a text.
+// lines is a range of a text, read line by line.
 type lines struct {
 	text     string
 	from, to int
 }
 
-// next returns the end of the line that starts at an offset.
-func (l lines) next(start int) int {
+// lineEnd returns the end of the line that starts at the given offset.
+func (l lines) lineEnd(start int) int {
 	if end := strings.IndexByte(l.text[start:l.to], '\n'); end >= 0 {
 		return start + end + 1
 	}
 	return l.to
 }
 
-// index returns where each line of the part starts, in ascending order.
-func (l lines) index() map[string][]int {
+// lineStarts returns, by content, the ascending offsets of all lines in the range.
+func (l lines) lineStarts() map[string][]int {
 	starts := map[string][]int{}
 	for start := l.from; start < l.to; {
-		end := l.next(start)
+		end := l.lineEnd(start)
 		line := l.text[start:end]
 		starts[line] = append(starts[line], start)
 		start = end
@@ -98,12 +97,12 @@
 	return starts
 }
 
-// script collects the steps of a delta.
-type script struct{ steps []step }
+// script collects the instructions of a delta.
+type script struct{ instructions []instruction }
 
-// compare adds the steps that make next out of base. It walks through the
-// lines of next beside those of base; where they differ it goes on at the
-// nearest equal line of base further on, or before if there is none further on.
+// compare adds the instructions that produce next from base. For each line of next it
+// copies the first equal line of base at or after the end of the previous copy, else
+// the last equal one before it, and inserts the line if there is none.
 func (s *script) compare(base, next lines) {
 	if next.from == next.to {
 		return
@@ -112,15 +111,15 @@
 		s.insert(next.text[next.from:next.to])
 		return
 	}
-	starts := base.index()
+	starts := base.lineStarts()
 	position := base.from
 	for start := next.from; start < next.to; {
-		end := next.next(start)
+		end := next.lineEnd(start)
 		line := next.text[start:end]
-		place, found := nearest(starts[line], position)
+		offset, found := nearestOffset(starts[line], position)
 		if found {
-			s.copy(place, len(line))
-			position = place + len(line)
+			s.copy(offset, len(line))
+			position = offset + len(line)
 		} else {
 			s.insert(line)
 		}
@@ -128,38 +127,38 @@
 	}
 }
 
-// nearest returns the first place that is not before a position, or else the
-// last one before it.
-func nearest(places []int, position int) (int, bool) {
-	if len(places) == 0 {
+// nearestOffset returns the first offset at or after a position, or else the last one
+// before it.
+func nearestOffset(offsets []int, position int) (int, bool) {
+	if len(offsets) == 0 {
 		return 0, false
 	}
-	after, _ := slices.BinarySearch(places, position)
-	return places[min(after, len(places)-1)], true
+	index, _ := slices.BinarySearch(offsets, position)
+	return offsets[min(index, len(offsets)-1)], true
 }
 
-// copy adds bytes of the base; it joins what follows the copy before.
+// copy adds a copy from the base, or extends the previous copy if it is adjacent.
 func (s *script) copy(from, length int) {
 	if length == 0 {
 		return
 	}
-	if count := len(s.steps); count > 0 {
-		last := &s.steps[count-1]
-		if last.inserted == nil && last.from+last.length == from {
+	if count := len(s.instructions); count > 0 {
+		last := &s.instructions[count-1]
+		if last.inserted == nil && last.baseOffset+last.length == from {
 			last.length += length
 			return
 		}
 	}
-	s.steps = append(s.steps, step{from: from, length: length})
+	s.instructions = append(s.instructions, instruction{baseOffset: from, length: length})
 }
 
-// insert adds new bytes; it joins those before.
+// insert adds an insertion, or extends the previous instruction if that is one.
 func (s *script) insert(text string) {
-	if count := len(s.steps); count > 0 && s.steps[count-1].inserted != nil {
-		last := &s.steps[count-1]
+	if count := len(s.instructions); count > 0 && s.instructions[count-1].inserted != nil {
+		last := &s.instructions[count-1]
 		last.inserted = append(last.inserted, text...)
 		last.length = len(last.inserted)
 		return
 	}
-	s.steps = append(s.steps, step{inserted: []byte(text), length: len(text)})
+	s.instructions = append(s.instructions, instruction{inserted: []byte(text), length: len(text)})
 }
--- a/internal/textdelta/rebuild.go
+++ b/internal/textdelta/rebuild.go
@@ -7,44 +7,43 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxPieces is from how many pieces on a text is joined again, so that the work
-// of a long chain of deltas stays in proportion to its length.
+// maxPieces is the number of pieces above which a text is joined again, so that the
+// cost of a long chain of deltas stays proportional to its length.
 const maxPieces = 4096
 
-// Apply returns the text that a delta leads to from base. The base must be the
-// one that the delta was made for.
+// Apply applies a delta to base, which must be the text that it was made for.
 func Apply(base, delta []byte) ([]byte, error) {
 	return Rebuild(base, [][]byte{delta})
 }
 
-// Rebuild applies deltas one after the other, each to the result of the one
-// before. It joins the text only at the end, so that a chain of small deltas
-// costs little more than one.
+// Rebuild applies a chain of deltas, each to the result of the previous one. It joins
+// the text only at the end, so a chain of small deltas costs little more than a single
+// one.
 func Rebuild(base []byte, deltas [][]byte) ([]byte, error) {
 	current := pieces{parts: [][]byte{base}, ends: []int{len(base)}}
 	hash := xxhash.Sum64(base)
 	for index, delta := range deltas {
 		decode := newDecoder(delta)
-		about := decode.header()
-		if decode.err == nil && (about.baseHash != hash || about.baseLength != current.length()) {
+		head := decode.header()
+		if decode.err == nil && (head.baseHash != hash || head.baseLength != current.length()) {
 			return nil, errors.Newf("delta %d of %d was made for another text", index+1, len(deltas))
 		}
-		next, err := current.apply(decode, about.resultLength)
+		next, err := current.apply(decode, head.resultLength)
 		if err != nil {
 			return nil, errors.Wrapf(err, "delta %d of %d", index+1, len(deltas))
 		}
-		current, hash = next, about.resultHash
+		current, hash = next, head.resultHash
 	}
 	text := current.join()
-	// The hashes in between are compared as numbers only: a wrong text in between
-	// leads to a wrong one at the end, which this finds.
+	// Intermediate texts are not hashed, only the hashes stored in the deltas are
+	// compared. A wrong intermediate text leads to a wrong result, which is detected here.
 	if xxhash.Sum64(text) != hash {
-		return nil, errors.New("damaged delta: the text is not the one that it was made from")
+		return nil, errors.New("damaged delta: the hash of the result does not match")
 	}
 	return text, nil
 }
 
-// pieces is a text in parts. ends holds where each part ends.
+// pieces is a text split into parts; ends holds the end offset of each part.
 type pieces struct {
 	parts [][]byte
 	ends  []int
@@ -64,33 +63,33 @@
 	}
 }
 
-// apply returns the pieces that the steps of a delta lead to.
+// apply returns the result of the instructions of a delta as pieces.
 func (p *pieces) apply(decode *decoder, resultLength int) (pieces, error) {
 	var next pieces
-	copied := 0
+	copyEnd := 0
 	for {
-		part, ok := decode.step(copied)
+		part, ok := decode.nextInstruction(copyEnd)
 		if !ok {
 			break
 		}
 		if next.length()+part.length > resultLength {
-			return next, errors.New("damaged delta: the text is longer than it says")
+			return next, errors.New("damaged delta: the result is longer than its header states")
 		}
 		if part.inserted != nil {
 			next.add(part.inserted)
 			continue
 		}
-		if part.from < 0 || part.from+part.length > p.length() {
-			return next, errors.New("damaged delta: it copies from outside its base")
+		if part.baseOffset < 0 || part.baseOffset+part.length > p.length() {
+			return next, errors.New("damaged delta: a copy is outside the base")
 		}
-		p.slice(&next, part)
-		copied = part.from + part.length
+		p.appendRange(&next, part)
+		copyEnd = part.baseOffset + part.length
 	}
 	if decode.err != nil {
 		return next, decode.err
 	}
 	if next.length() != resultLength {
-		return next, errors.New("damaged delta: the text is shorter than it says")
+		return next, errors.New("damaged delta: the result is shorter than its header states")
 	}
 	if len(next.parts) > maxPieces {
 		joined := next.join()
@@ -99,18 +98,18 @@
 	return next, nil
 }
 
-// slice adds a range of the text to other pieces.
-func (p *pieces) slice(to *pieces, wanted step) {
-	if wanted.length == 0 {
+// appendRange appends a range of the text to target.
+func (p *pieces) appendRange(target *pieces, span instruction) {
+	if span.length == 0 {
 		return
 	}
-	// The first part that ends after the start of the range.
-	index, _ := slices.BinarySearch(p.ends, wanted.from+1)
-	from, end := wanted.from, wanted.from+wanted.length
+	// index is the first part that ends after the start of the range.
+	index, _ := slices.BinarySearch(p.ends, span.baseOffset+1)
+	from, end := span.baseOffset, span.baseOffset+span.length
 	for from < end {
 		start := p.ends[index] - len(p.parts[index])
 		until := min(end, p.ends[index])
-		to.add(p.parts[index][from-start : until-start])
+		target.add(p.parts[index][from-start : until-start])
 		from = until
 		index++
 	}
--- a/internal/textdelta/textdelta_test.go
+++ b/internal/textdelta/textdelta_test.go
@@ -11,23 +11,23 @@
 	"pgregory.net/rapid"
 )
 
-// drawText draws texts of a few lines that repeat, so that copies have several
-// places to come from, with and without a line break at the end.
+// drawText draws a text from few distinct lines, so that copies have several possible
+// sources, with or without a line break at the end.
 func drawText(t *rapid.T, label string) []byte {
 	line := rapid.SampledFrom([]string{"\t\t}\n", "group a {\n", "group b {\n", "replica 1\n", "replica 2\n", "é\n", "x", "\n", "\x00\xff\n"})
 	return []byte(strings.Join(rapid.SliceOfN(line, 0, 40).Draw(t, label), ""))
 }
 
-// edit replaces a range of a text at any byte.
+// edit replaces a random range of a text, not aligned to lines.
 func edit(t *rapid.T, text []byte) []byte {
 	from := rapid.IntRange(0, len(text)).Draw(t, "from")
 	to := rapid.IntRange(from, min(len(text), from+20)).Draw(t, "to")
 	return slices.Concat(text[:from], drawText(t, "replacement"), text[to:])
 }
 
-// TestAnyChainComesBack checks that every text of a sequence of edits and of
-// unrelated texts comes back byte for byte from the first one and the deltas.
-func TestAnyChainComesBack(t *testing.T) {
+// TestChainIsRebuilt checks that every text in a sequence of edits and unrelated texts
+// is rebuilt byte for byte from the first text and the deltas.
+func TestChainIsRebuilt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		texts := [][]byte{drawText(t, "first")}
 		var deltas [][]byte
@@ -52,9 +52,9 @@
 	})
 }
 
-// TestDamageIsAnError changes, cuts and swaps deltas: the result is an error or
-// the right text, and never a panic.
-func TestDamageIsAnError(t *testing.T) {
+// TestCorruptDeltaFails changes or truncates a delta, or applies it to another base.
+// The result must be an error or the right text, never a panic.
+func TestCorruptDeltaFails(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := drawText(t, "base")
 		next := edit(t, base)
@@ -80,7 +80,7 @@
 	})
 }
 
-// largeText is a text of many lines.
+// largeText returns a text with the given number of lines.
 func largeText(lines int) []byte {
 	var text bytes.Buffer
 	for line := range lines {
@@ -89,8 +89,8 @@
 	return text.Bytes()
 }
 
-// TestDeltaIsSmall checks that a delta grows with the edit and not with the
-// text, also when edits lie far apart and a block was moved.
+// TestDeltaIsSmall checks that the size of a delta depends on the edit and not on the
+// text, also if edits are far apart or a block was moved.
 func TestDeltaIsSmall(t *testing.T) {
 	base := largeText(20_000)
 	lines := bytes.SplitAfter(base, []byte("\n"))
@@ -116,7 +116,7 @@
 	}
 }
 
-// TestLongChainIsJoined checks a chain with more pieces than are kept apart.
+// TestLongChainIsJoined checks a text that splits into more than maxPieces pieces.
 func TestLongChainIsJoined(t *testing.T) {
 	base := largeText(3 * maxPieces)
 	lines := bytes.SplitAfter(base, []byte("\n"))
