--- a/internal/control/claim_service.go
+++ b/internal/control/claim_service.go
@@ -80,7 +80,7 @@
 	case state.ClaimDigestMismatch:
 		return &v1.ClaimResponse{Result: v1.ClaimResult_CLAIM_RESULT_DIGEST_MISMATCH}, nil
 	default:
-		return nil, refuse(connect.CodeResourceExhausted, "the claim table is full; nothing was recorded")
+		return nil, refuse(connect.CodeResourceExhausted, "no more claims can be remembered; nothing was recorded")
 	}
 }
 
--- a/internal/directory/departing.go
+++ b/internal/directory/departing.go
@@ -18,7 +18,7 @@
 // departed one.
 func (n *Node) Heartbeat(ctx context.Context, instance registry.Instance) error {
 	if instance.State != registry.Leaving && !n.mayRegister(ctx, instance) {
-		return errors.Wrap(ErrUnavailable, "state not confirmed: a new start can't be told from a departed one")
+		return errors.Wrap(ErrUnavailable, "the state is not confirmed: a new start can't be told from one that left")
 	}
 	n.recordHeartbeat(instance)
 	if instance.State == registry.Leaving {
--- a/internal/directory/evacuations.go
+++ b/internal/directory/evacuations.go
@@ -39,7 +39,7 @@
 	start := steadyclock.Now()
 	var err error
 	if zone == "" || len(zone) > maxZoneName {
-		err = &routing.InvalidError{Detail: "a zone name must have 1 to 200 bytes"}
+		err = &routing.InvalidError{Detail: "the name of a zone has between 1 and 200 bytes"}
 	} else {
 		order := evacuationOrder{Evacuation: Evacuation{Zone: zone, By: by, At: time.Now().UTC()}, Ended: ended} // wall clock, since operators read it.
 		err = n.onLeader(ctx, func(ctx context.Context) error { return n.evacuateAsLeader(ctx, order) }, pathEvacuate, order, nil)
--- a/internal/directory/freshness.go
+++ b/internal/directory/freshness.go
@@ -119,7 +119,7 @@
 }
 
 // errNoIndex reports a leader of the previous release, which confirms only documents.
-var errNoIndex = errors.New("the leader does not report a log index")
+var errNoIndex = errors.New("the leader does not tell the index")
 
 // confirmAsLeader returns the committed index and document version, at the leader.
 func (n *Node) confirmAsLeader(ctx context.Context) (confirmReply, error) {
--- a/internal/directory/quarantine.go
+++ b/internal/directory/quarantine.go
@@ -57,7 +57,7 @@
 
 func checkOrders(orders []quarantine.Order) error {
 	if len(orders) == 0 || len(orders) > maxOrders {
-		return &routing.InvalidError{Detail: "a message must have 1 to 256 orders"}
+		return &routing.InvalidError{Detail: "a message has between 1 and 256 orders"}
 	}
 	for _, order := range orders {
 		if err := order.Check(); err != nil {
--- a/internal/directory/quota.go
+++ b/internal/directory/quota.go
@@ -106,7 +106,7 @@
 		parsed, err := config.ReadLimits(text)
 		if err != nil {
 			q.mutex.Unlock()
-			return errors.Wrapf(ErrUnavailable, "cannot read the limits: %v", err)
+			return errors.Wrapf(ErrUnavailable, "the limits can't be read: %v", err)
 		}
 		limits = parsed
 	}
--- a/internal/directory/rollouts.go
+++ b/internal/directory/rollouts.go
@@ -84,7 +84,7 @@
 func checkRollout(service, version string, duration time.Duration) error {
 	validName := func(name string) bool { return name != "" && len(name) <= maxNameBytes }
 	if !validName(service) || !validName(version) || duration < shortestRollout || duration > longestRollout {
-		return &routing.InvalidError{Detail: "a rollout needs a service and a version of at most 200 bytes and a duration of 0.1 s to 24 h"}
+		return &routing.InvalidError{Detail: "a roll-out names a service and a version, of 200 bytes at most, and a time of 0.1 s to 24 h"}
 	}
 	return nil
 }
--- a/internal/follower/handler.go
+++ b/internal/follower/handler.go
@@ -142,12 +142,12 @@
 // the caller.
 func checkCaller(ctx context.Context, node *v1.NodeIdentity) error {
 	if node.GetName() == "" || node.GetBoot() == 0 {
-		return connect.NewError(connect.CodeInvalidArgument, errors.New("node identity lacks a name or boot number"))
+		return connect.NewError(connect.CodeInvalidArgument, errors.New("a node must state its name and boot number"))
 	}
 	identity, proved := rpc.IdentityFrom(ctx)
 	if proved && (identity.Name != node.GetName() || identity.Role != keys.Role(node.GetRole())) {
 		return connect.NewError(connect.CodePermissionDenied, errors.Newf(
-			"certificate identifies %s %s, but the call identifies %s %s",
+			"the certificate is of %s %s, the call of %s %s",
 			identity.Role, identity.Name, node.GetRole(), node.GetName()))
 	}
 	return nil
--- a/internal/follower/ports.go
+++ b/internal/follower/ports.go
@@ -39,7 +39,7 @@
 	if e.Leader == "" {
 		return "not the leader, and no leader is known"
 	}
-	return fmt.Sprintf("not the leader; the leader is %s", e.Leader)
+	return fmt.Sprintf("not the leader; ask %s", e.Leader)
 }
 
 // Authority entitles a process to grant leases. A control voter is entitled by
--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -17,10 +17,10 @@
 
 // ErrRevisionReported is returned for a grant below a revision that was already reported in
 // effect.
-var ErrRevisionReported = errors.New("a higher revision was already reported in effect")
+var ErrRevisionReported = errors.New("a higher revision was already reported in force")
 
 // ErrChildReleased is returned for a grant to a child that released its lease.
-var ErrChildReleased = errors.New("the child released its lease")
+var ErrChildReleased = errors.New("the child gave its lease back")
 
 // ErrNothingInstalled is returned while there is no revision to grant.
 var ErrNothingInstalled = errors.New("no revision is installed")
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -67,11 +67,11 @@
 // Check returns an error if the command is invalid.
 func (o Order) Check() error {
 	if !slices.Contains([]Kind{Report, Try, Return, Clear, Lift, Expire}, o.Kind) {
-		return errors.Newf("unknown command kind %.40q", o.Kind)
+		return errors.Newf("%.40q is no kind of order", o.Kind)
 	}
 	for _, text := range append([]string{o.Route, o.Caller, o.By}, o.Servers...) {
 		if len(text) > maxTextBytes {
-			return errors.Newf("a text field of the command exceeds %d bytes", maxTextBytes)
+			return errors.Newf("a text of an order has more than %d bytes", maxTextBytes)
 		}
 	}
 	return nil
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -58,7 +58,7 @@
 func (f *Fingerprint) UnmarshalText(text []byte) error {
 	decoded, err := hex.DecodeString(string(text))
 	if err != nil || len(decoded) != len(f) {
-		return errors.Newf("invalid fingerprint %.80q: want 64 hexadecimal digits", text)
+		return errors.Newf("%.80q is no fingerprint: 64 hexadecimal digits", text)
 	}
 	copy(f[:], decoded)
 	return nil
--- a/internal/query/claims.go
+++ b/internal/query/claims.go
@@ -20,7 +20,7 @@
 // granted later is released.
 func (e *Engine) abandonClaim(r *request) {
 	e.abandonedClaims[r.ID] = r.CallerID
-	e.failWith(r, verdict.ReasonClaimsUnavailable, "the claim was not decided in time")
+	e.failWith(r, verdict.ReasonClaimsUnavailable, "no decision on the claim in time")
 }
 
 func (e *Engine) claimDecided(event ClaimDecided) {
--- a/internal/relay/process.go
+++ b/internal/relay/process.go
@@ -67,7 +67,7 @@
 // bootNumber returns a number that is higher at every start, unless the clock
 // of the machine is set back by more than the time that a start takes. It is
 // the wall clock time, which distinguishes starts.
-func bootNumber() uint64 { return uint64(time.Now().UnixNano()) }
+func bootNumber() uint64 { return uint64(time.Now().UnixNano()) } // wall clock: it distinguishes starts
 
 func (p *Process) openSpool() error {
 	if p.options.DataFolder == "" {
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -66,18 +66,18 @@
 		case now.Elapsed < now.Duration-shift:
 			return Step{}
 		case total.New.Answers >= minAnswers:
-			return Step{Phase: Ramp, Why: "no sign of a bad version at the canary share"}
+			return Step{Phase: Ramp, Why: "no mark of a bad version under the canary share"}
 		case ending:
 			return Step{Phase: RolledBack, Why: "too few answers of the new version to trust it"}
 		}
 	case Ramp:
 		if now.Inside >= time.Duration(rampFraction*float64(shift)) {
-			return Step{Phase: Shifted, Why: "no sign of a bad version in the ramp"}
+			return Step{Phase: Shifted, Why: "no mark of a bad version in the ramp"}
 		}
 	case Shifted:
 		watched := now.Inside >= time.Duration(minWatchFraction*float64(shift))
 		if watched && now.Quiet || ending {
-			return Step{Phase: Done, Why: "no sign of a bad version under full load"}
+			return Step{Phase: Done, Why: "no mark of a bad version under the whole load"}
 		}
 	}
 	return Step{}
--- a/internal/router/cells.go
+++ b/internal/router/cells.go
@@ -70,7 +70,7 @@
 // forward sends a request to routers of its cell in turn until one answers it.
 func (r *Router) forward(ctx context.Context, peers []Peer, route *plan.Route, request Request) query.Answer {
 	if !r.leaseValid() {
-		return r.refusal(verdict.ReasonNoLease, "the configuration lease has expired")
+		return r.refusal(verdict.ReasonNoLease, "the configuration lease has run out")
 	}
 	request.Deadline = boundedDeadline(route.Policy.Deadline, request.Deadline, steadyclock.Now())
 	bounded, cancel := steadyclock.WithDeadline(ctx, request.Deadline.Add(forwardGrace))
--- a/internal/router/engine_loop.go
+++ b/internal/router/engine_loop.go
@@ -119,7 +119,7 @@
 // admit passes a request to the engine, unless too many are in flight.
 func (l *engineLoop) admit(ctx context.Context, arrived admission) {
 	if len(l.pending) >= l.router.config.MaxRequests {
-		arrived.reply <- l.router.refusal(verdict.ReasonOverloaded, "too many requests in flight")
+		arrived.reply <- l.router.refusal(verdict.ReasonOverloaded, "too many requests under way")
 		return
 	}
 	now := time.Now() // wall clock: records are compared with those of other machines.
--- a/internal/router/regions.go
+++ b/internal/router/regions.go
@@ -104,13 +104,13 @@
 	now := steadyclock.Now()
 	switch {
 	case s.router.refusing.Load():
-		return s.router.refusal(verdict.ReasonStopping, "the router is stopping")
+		return s.router.refusal(verdict.ReasonStopping, "the router is being stopped")
 	case !s.router.leaseValidAt(now):
-		return s.router.refusal(verdict.ReasonNoLease, "the configuration lease has expired")
+		return s.router.refusal(verdict.ReasonNoLease, "the configuration lease has run out")
 	case !request.Deadline.IsZero() && !now.Before(request.Deadline):
 		return s.router.refusalWithoutRetry(verdict.ReasonDeadlinePassed, "the deadline has passed")
 	case s.caller == nil:
-		return s.router.refusalWithoutRetry(verdict.ReasonRegionUnreachable, "a router without control can't reach other regions")
+		return s.router.refusalWithoutRetry(verdict.ReasonRegionUnreachable, "a router without control reaches no other region")
 	}
 	outgoing, refused := s.begin(route)
 	if outgoing == nil {
@@ -261,7 +261,7 @@
 		case !own:
 			return r.refusal(verdict.ReasonWrongRegion, "the region that was asked does not own route "+request.Route)
 		case route.Policy.Once && request.IDGenerated:
-			return r.refusalWithoutRetry(verdict.ReasonBadRequest, "route "+route.Name+" runs at most once and needs a request id from the caller")
+			return r.refusalWithoutRetry(verdict.ReasonBadRequest, "route "+route.Name+" runs at most once and needs a request id of the caller")
 		case route.Target == plan.TargetKey && request.Key == "":
 			return r.refusalWithoutRetry(verdict.ReasonBadRequest, "route "+route.Name+" needs the parameter key")
 		}
