--- a/cmd/martenbench/platform.go
+++ b/cmd/martenbench/platform.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	config := machinelist.StandInConfig{}
+	config := machinelist.FakePlatformConfig{}
 	if c.Script != "" {
 		if config, err = machinelist.ReadScript(c.Script); err != nil {
 			return exitcode.With(exitcode.Settings, err)
@@ -54,7 +54,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	logger.WithField(logging.FieldAddress, c.Listen).WithField("machines", len(config.Machines)).Info("platform stand-in starts")
-	return serveHTTP(ctx, c.Listen, machinelist.NewStandIn(config).Handler())
+	return serveHTTP(ctx, c.Listen, machinelist.NewFakePlatform(config).Handler())
 }
 
 // replicaAddresses returns the addresses of all replicas, each once.
--- a/cmd/martenstage/operator.go
+++ b/cmd/martenstage/operator.go
@@ -60,7 +60,7 @@
 	defer cancel()
 	caller := control.NewClient(o.Control, client)
 	progress := cli.NewProgress(os.Stderr)
-	caller.OnWaiting(func(why string) { progress.Show("waiting for control: " + lo.Ellipsis(why, widestReason)) })
+	caller.OnRetry(func(why string) { progress.Show("waiting for control: " + lo.Ellipsis(why, widestReason)) })
 	err = function(ctx, caller)
 	progress.Done()
 	return withExitCode(err)
--- a/cmd/martenstage/quarantine.go
+++ b/cmd/martenstage/quarantine.go
@@ -32,7 +32,7 @@
 	table := newTable()
 	for _, held := range book.Records {
 		fmt.Fprintf(table, "%s\t%s\tsince %s\troute %s\tcaller %s\t%d servers ended: %s\n",
-			held.Fingerprint, held.Standing(), held.At.Format(time.RFC3339), held.Route, held.Caller, held.Ended, strings.Join(held.Servers, " "))
+			held.Fingerprint, held.Status(), held.At.Format(time.RFC3339), held.Route, held.Caller, held.Ended, strings.Join(held.Servers, " "))
 	}
 	return table.Flush()
 }
@@ -42,7 +42,7 @@
 	if err := fingerprint.UnmarshalText([]byte(c.Lift)); err != nil {
 		return exitcode.With(exitcode.Usage, err)
 	}
-	before, err := askDirectory(c.Arguments.Address, func(ctx context.Context, address string) (quarantine.Standing, error) {
+	before, err := askDirectory(c.Arguments.Address, func(ctx context.Context, address string) (quarantine.Status, error) {
 		return directory.LiftQuarantine(ctx, address, fingerprint, operatorName())
 	})
 	if err != nil {
--- a/cmd/martenstage/rollouts.go
+++ b/cmd/martenstage/rollouts.go
@@ -26,7 +26,7 @@
 	table := newTable()
 	for _, held := range list.Rollouts {
 		fmt.Fprintf(table, "%s\tto %s\t%s\tsince %s\tordered %s for %s from %s\t%s\n", held.Service, held.Target, held.Phase,
-			held.Changed.Format(time.RFC3339), held.Ordered.Format(time.RFC3339), held.Duration, held.By, held.Why)
+			held.Changed.Format(time.RFC3339), held.Ordered.Format(time.RFC3339), held.Duration, held.By, held.Reason)
 		writeEvidence(table, list.Evidence[held.Service])
 	}
 	return table.Flush()
--- a/cmd/martenstage/voters.go
+++ b/cmd/martenstage/voters.go
@@ -119,8 +119,8 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("found revision %d; the log ends at index %d of term %d\n", recovered.Found, recovered.LastIndex, recovered.LastTerm)
-	fmt.Printf("voter %d begins a new group with revision %d, which has the same text\n", c.ID, recovered.First)
+	fmt.Printf("found revision %d; the log ends at index %d of term %d\n", recovered.SurvivorRevision, recovered.LastIndex, recovered.LastTerm)
+	fmt.Printf("voter %d begins a new group with revision %d, which has the same text\n", c.ID, recovered.FirstRevision)
 	return nil
 }
 
--- a/internal/addressee/addressee.go
+++ b/internal/addressee/addressee.go
@@ -43,10 +43,10 @@
 	return Group(max(1, xxhash.Sum64String("group "+strings.Join(sorted, " "))))
 }
 
-// Serves reports whether a group is the one that a process with some seeds looks for: the
+// MatchesSeeds reports whether a group is the one that a process with some seeds looks for: the
 // seeds founded it, or at least half of them are its members. A single matching seed proves
 // nothing, since its address may have passed to a node of another group.
-func (g Group) Serves(seeds, members []string) bool {
+func (g Group) MatchesSeeds(seeds, members []string) bool {
 	if g != 0 && g == GroupOf(seeds) {
 		return true
 	}
@@ -91,9 +91,9 @@
 	return fmt.Sprintf("call for %q of group %s reached %q of group %s", e.Expected.Name, e.Expected.Group, e.Found.Name, e.Found.Group)
 }
 
-// Mark sets the headers of a call: the intended process and the group, which is also the
+// SetHeaders sets the headers of a call: the intended process and the group, which is also the
 // caller's.
-func Mark(header http.Header, expected Identity) {
+func SetHeaders(header http.Header, expected Identity) {
 	if expected.Group != 0 {
 		header[headerGroup] = []string{expected.Group.String()}
 	}
@@ -102,9 +102,9 @@
 	}
 }
 
-// Check returns a *MisdirectedError if a process other than the expected one replied. If the
+// CheckResponse returns a *MisdirectedError if a process other than the expected one replied. If the
 // expected one identifies itself, that includes replies without a name.
-func Check(response *http.Response, expected Identity, identifies bool) error {
+func CheckResponse(response *http.Response, expected Identity, identifies bool) error {
 	found := identityOf(response.Header, headerFrom)
 	refused := response.StatusCode == http.StatusMisdirectedRequest
 	if refused || !expected.matches(found) || identifies && found.Name == "" {
--- a/internal/addressee/addressee_test.go
+++ b/internal/addressee/addressee_test.go
@@ -20,7 +20,7 @@
 		http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusNoContent) }),
 	)
 	request := httptest.NewRequest(http.MethodPost, "/", nil)
-	addressee.Mark(request.Header, expected)
+	addressee.SetHeaders(request.Header, expected)
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, request)
 	return recorder.Result(), reported
@@ -44,7 +44,7 @@
 		"a process of another group, no name": {addressee.Identity{Group: 8}, process, false},
 	} {
 		response, reported := callProcess(sample.process, sample.expected)
-		err := addressee.Check(response, sample.expected, false)
+		err := addressee.CheckResponse(response, sample.expected, false)
 		if sample.served {
 			require.Equal(t, http.StatusNoContent, response.StatusCode, name)
 			require.NoError(t, err, name)
@@ -74,7 +74,7 @@
 		"no headers, earlier version": {http.Header{}, false, true},
 		"no headers, from a process expected to identify itself": {http.Header{}, true, false},
 	} {
-		err := addressee.Check(&http.Response{StatusCode: http.StatusOK, Header: sample.header}, expected, sample.identifies)
+		err := addressee.CheckResponse(&http.Response{StatusCode: http.StatusOK, Header: sample.header}, expected, sample.identifies)
 		if sample.accepted {
 			require.NoError(t, err, name)
 			continue
@@ -100,7 +100,7 @@
 		"none":                    {[]string{"x"}, []string{"d"}, false},
 		"a process without seeds": {nil, []string{"d"}, true},
 	} {
-		require.Equal(t, sample.serves, group.Serves(sample.seeds, sample.members), name)
+		require.Equal(t, sample.serves, group.MatchesSeeds(sample.seeds, sample.members), name)
 	}
 }
 
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -87,7 +87,7 @@
 				if class%2 == 0 {
 					queue.PushFront(plan.Priority(first), item)
 				} else {
-					queue.Leave(plan.Priority(first))
+					queue.Discard(plan.Priority(first))
 					model[first] = model[first][1:]
 				}
 				found = false
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -54,8 +54,8 @@
 	queued.items[queued.head] = item
 }
 
-// Leave removes an item from the count.
-func (q *Queue[T]) Leave(priority plan.Priority) { q.counts[priority]-- }
+// Discard removes an item from the count.
+func (q *Queue[T]) Discard(priority plan.Priority) { q.counts[priority]-- }
 
 // Waiting returns the number of items that are still needed.
 func (q *Queue[T]) Waiting() int { return q.Ahead(0) }
--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -10,9 +10,9 @@
 	Version uint64
 	// Tried are the servers that this shard's request has already been sent to.
 	Tried []*Server
-	// Spare requires a server with a free slot, for attempts that must not add
+	// FreeSlot requires a server with a free slot, for attempts that must not add
 	// to a queue.
-	Spare bool
+	FreeSlot bool
 	// Hedged is set if a hedge will follow when the server is slow, so that the
 	// attempt may probe a suspect server.
 	Hedged bool
@@ -197,7 +197,7 @@
 
 // hasCapacity reports whether the server may be sent one more attempt.
 func (s *Server) hasCapacity(need Need) bool {
-	if need.Spare && !s.hasSpareSlot() {
+	if need.FreeSlot && !s.hasSpareSlot() {
 		return false
 	}
 	if s.suspect {
--- a/internal/balancer/presence.go
+++ b/internal/balancer/presence.go
@@ -141,9 +141,9 @@
 	return server
 }
 
-// ObserveSilence records a probe that timed out. A single timeout says nothing about
+// ObserveProbeTimeout records a probe that timed out. A single timeout says nothing about
 // the server and must not end a departure. It returns nil for an unknown server.
-func (p *Pool) ObserveSilence(now time.Time, address netip.AddrPort) *Server {
+func (p *Pool) ObserveProbeTimeout(now time.Time, address netip.AddrPort) *Server {
 	server, known := p.servers[address]
 	if !known {
 		return nil
@@ -226,10 +226,10 @@
 	}
 }
 
-// ObserveWord records an external report about a server, from the platform, an operator
+// ObserveExternalReport records an external report about a server, from the platform, an operator
 // or another router. For an unknown server it returns nil and keeps the report until the
 // server is added.
-func (p *Pool) ObserveWord(now time.Time, address netip.AddrPort, leaving bool) *Server {
+func (p *Pool) ObserveExternalReport(now time.Time, address netip.AddrPort, leaving bool) *Server {
 	server, known := p.servers[address]
 	if !known {
 		departure := p.departures[address]
--- a/internal/balancer/presence_test.go
+++ b/internal/balancer/presence_test.go
@@ -77,12 +77,12 @@
 	left, _ := pool.Server(address(0))
 	pool.ObserveDrain(start, left)
 	for range 3 {
-		pool.ObserveSilence(start, address(0))
+		pool.ObserveProbeTimeout(start, address(0))
 		pool.ObserveHealth(start, address(0), true, ready(1))
 		require.False(t, left.Usable(), "one timed-out probe says nothing")
 	}
 	for range unreachableAfter {
-		pool.ObserveSilence(start, address(0))
+		pool.ObserveProbeTimeout(start, address(0))
 	}
 	pool.ObserveHealth(start, address(0), true, ready(1))
 	require.True(t, left.Usable())
@@ -217,9 +217,9 @@
 func TestALateReportOfARestartIsWithdrawnAtTheNextProbe(t *testing.T) {
 	pool, server := poolWithReturnedServer(start.Add(2 * time.Second))
 	require.True(t, server.Usable())
-	pool.ObserveWord(start.Add(5*time.Second), address(0), true)
+	pool.ObserveExternalReport(start.Add(5*time.Second), address(0), true)
 	require.False(t, server.Usable(), "a report of a departure always counts")
-	pool.ObserveWord(start.Add(6*time.Second), address(0), false)
+	pool.ObserveExternalReport(start.Add(6*time.Second), address(0), false)
 	require.False(t, server.Usable(), "the observed return predates the reported departure")
 	pool.ObserveHealth(start.Add(6250*time.Millisecond), address(0), true, ready(1))
 	require.True(t, server.Usable())
@@ -227,18 +227,18 @@
 
 func TestALateReportOfARestartIsWithdrawnAtOnceAfterAProbe(t *testing.T) {
 	pool, server := poolWithReturnedServer(start.Add(2 * time.Second))
-	pool.ObserveWord(start.Add(5*time.Second), address(0), true)
+	pool.ObserveExternalReport(start.Add(5*time.Second), address(0), true)
 	pool.ObserveHealth(start.Add(5250*time.Millisecond), address(0), true, ready(1))
 	require.False(t, server.Usable(), "no source withdraws the report of another")
-	pool.ObserveWord(start.Add(6*time.Second), address(0), false)
+	pool.ObserveExternalReport(start.Add(6*time.Second), address(0), false)
 	require.True(t, server.Usable())
 }
 
 func TestAReturnLongAgoProvesNothing(t *testing.T) {
 	pool, server := poolWithReturnedServer(start.Add(2 * time.Second))
 	left := start.Add(2*time.Second + DefaultExternalReportHold)
-	pool.ObserveWord(left, address(0), true)
-	pool.ObserveWord(left.Add(time.Second), address(0), false)
+	pool.ObserveExternalReport(left, address(0), true)
+	pool.ObserveExternalReport(left.Add(time.Second), address(0), false)
 	pool.ObserveHealth(left.Add(2*time.Second), address(0), true, ready(1))
 	require.False(t, server.Usable())
 	pool.ObserveHealth(left.Add(DefaultExternalReportHold), address(0), true, ready(1))
@@ -249,8 +249,8 @@
 	pool, _ := newPool(1)
 	pool.ObserveHealth(start, address(0), true, ready(1))
 	server, _ := pool.Server(address(0))
-	pool.ObserveWord(start.Add(time.Second), address(0), true)
-	pool.ObserveWord(start.Add(2*time.Second), address(0), false)
+	pool.ObserveExternalReport(start.Add(time.Second), address(0), true)
+	pool.ObserveExternalReport(start.Add(2*time.Second), address(0), false)
 	pool.ObserveHealth(start.Add(3*time.Second), address(0), true, ready(1))
 	require.False(t, server.Usable(), "the list may lag, and the endpoint may be wrong")
 	pool.ObserveHealth(start.Add(time.Second+DefaultExternalReportHold), address(0), true, ready(1))
--- a/internal/cell/cell_test.go
+++ b/internal/cell/cell_test.go
@@ -68,7 +68,7 @@
 		for _, router := range routers {
 			share, held := cells.Shares(fullPlan, router)[serverAddress]
 			require.Equal(t, slices.Contains(both, router), held)
-			require.Equal(t, held, len(cells.Own(fullPlan, router).Services) > 0)
+			require.Equal(t, held, len(cells.LocalPlan(fullPlan, router).Services) > 0)
 			sum += share.Connections
 		}
 		require.LessOrEqual(t, sum, connections)
--- a/internal/cell/cells.go
+++ b/internal/cell/cells.go
@@ -48,9 +48,9 @@
 	return members
 }
 
-// Own returns the part of a plan that a router serves itself: the services whose cells it
+// LocalPlan returns the part of a plan that a router serves itself: the services whose cells it
 // belongs to, with their routes.
-func (c *Cells) Own(fullPlan *plan.Plan, router string) *plan.Plan {
+func (c *Cells) LocalPlan(fullPlan *plan.Plan, router string) *plan.Plan {
 	local := &plan.Plan{}
 	served := make(map[string]bool)
 	for index := range fullPlan.Services {
--- a/internal/cell/ledger.go
+++ b/internal/cell/ledger.go
@@ -53,9 +53,9 @@
 	l.current = shares
 }
 
-// Outside records that the router was not in the cells of some back ends until now, so that it
+// MarkJoining records that the router was not in the cells of some back ends until now, so that it
 // joins them like a new router.
-func (l *Ledger) Outside(addresses []netip.AddrPort) {
+func (l *Ledger) MarkJoining(addresses []netip.AddrPort) {
 	if !l.installed {
 		return
 	}
--- a/internal/cell/members.go
+++ b/internal/cell/members.go
@@ -49,7 +49,7 @@
 // share.
 func Shares(fullPlan *plan.Plan, routers []string, router string) map[netip.AddrPort]Share {
 	shares := NewCells(routers).Shares(fullPlan, router)
-	for address := range Whole(fullPlan) {
+	for address := range Limits(fullPlan) {
 		if _, own := shares[address]; !own {
 			shares[address] = Share{}
 		}
@@ -131,9 +131,9 @@
 	return part
 }
 
-// Whole returns the limits of every back end of a plan, which are the shares of a router
+// Limits returns the limits of every back end of a plan, which are the shares of a router
 // without peers.
-func Whole(fullPlan *plan.Plan) map[netip.AddrPort]Share {
+func Limits(fullPlan *plan.Plan) map[netip.AddrPort]Share {
 	backends := make(map[netip.AddrPort]*backend)
 	for index := range fullPlan.Services {
 		for replica := range replicasOf(&fullPlan.Services[index]) {
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -100,7 +100,7 @@
 	if restored.Snapshot != nil {
 		c.restoreState(node, restored.Snapshot)
 	}
-	c.step(node, Wake{})
+	c.step(node, DeadlineReached{})
 }
 
 // crash discards unsynced writes. The first kept units survive, as if the disk
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -165,7 +165,7 @@
 		c.snapshotTaken(event.Index, event.Data)
 	case DiskFailed:
 		c.halt()
-	case Wake:
+	case DeadlineReached:
 	}
 }
 
@@ -200,7 +200,7 @@
 		c.deliverCommitted()
 	}
 	c.output.State = c.softState()
-	c.output.Wake = c.nextDeadline()
+	c.output.NextDeadline = c.nextDeadline()
 	return c.output
 }
 
--- a/internal/consensus/event.go
+++ b/internal/consensus/event.go
@@ -4,8 +4,8 @@
 type Event interface{ isEvent() }
 
 type (
-	// Wake reports that the deadline in the last Output has passed.
-	Wake struct{}
+	// DeadlineReached reports that the deadline in the last Output has passed.
+	DeadlineReached struct{}
 
 	// Receive carries a message from another voter.
 	Receive struct{ Message Message }
@@ -51,7 +51,7 @@
 	Data  []byte
 }
 
-func (Wake) isEvent()               {}
+func (DeadlineReached) isEvent()    {}
 func (Receive) isEvent()            {}
 func (Propose) isEvent()            {}
 func (ConfirmRead) isEvent()        {}
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -84,8 +84,8 @@
 	// commit index.
 	PromoteLearner
 	RemoveMember
-	// MoveMember changes a member's address; quorums stay the same.
-	MoveMember
+	// UpdateMemberAddress changes a member's address; quorums stay the same.
+	UpdateMemberAddress
 )
 
 // Change alters one member.
@@ -122,7 +122,7 @@
 		next.Members = slices.Delete(next.Members, position, position+1)
 		next.Removed = append(next.Removed, change.ID)
 		return next, Accepted
-	case MoveMember:
+	case UpdateMemberAddress:
 		if position < 0 {
 			return m, RefusedUnknownMember
 		}
--- a/internal/consensus/output.go
+++ b/internal/consensus/output.go
@@ -30,9 +30,9 @@
 
 	// State is the soft state after the Step.
 	State SoftState
-	// Wake is the time at which the caller must step the next timer event, at the
+	// NextDeadline is the time at which the caller must step the next timer event, at the
 	// latest; zero for never.
-	Wake time.Time
+	NextDeadline time.Time
 }
 
 // Persist is one atomic write.
--- a/internal/consensus/safety_test.go
+++ b/internal/consensus/safety_test.go
@@ -95,7 +95,7 @@
 		return
 	}
 	node.clock = node.clock.Add(time.Duration(choose(c.draw, "ms", 300)) * time.Millisecond)
-	c.step(node, Wake{})
+	c.step(node, DeadlineReached{})
 }
 
 // runUndisturbed runs part of the cluster without faults for a while, so that
@@ -117,7 +117,7 @@
 			node.clock = node.clock.Add(DefaultHeartbeat)
 			if node.core != nil {
 				c.sync(node, len(node.unsynced))
-				c.step(node, Wake{})
+				c.step(node, DeadlineReached{})
 			}
 		}
 	}
@@ -178,7 +178,7 @@
 		return
 	}
 	change := Change{
-		Kind: AddLearner + ChangeKind(choose(c.draw, "change", int(MoveMember))),
+		Kind: AddLearner + ChangeKind(choose(c.draw, "change", int(UpdateMemberAddress))),
 		ID:   uint64(1 + choose(c.draw, "member", clusterSize)),
 	}
 	output := c.step(node, ChangeMembership{Change: change})
--- a/internal/consensus/scenario_test.go
+++ b/internal/consensus/scenario_test.go
@@ -67,7 +67,7 @@
 		}
 	}
 	c.nodes[id].clock = c.nodes[id].clock.Add(2 * DefaultElectionTimeout)
-	c.step(c.nodes[id], Wake{})
+	c.step(c.nodes[id], DeadlineReached{})
 }
 
 // elect makes a voter leader with the votes of others. The first attempt may only
@@ -96,7 +96,7 @@
 func TestElectionTimeoutIsShorterUntilLeaderContact(t *testing.T) {
 	c := newCluster(t)
 	started := c.nodes[1]
-	c.step(started, Wake{})
+	c.step(started, DeadlineReached{})
 	require.Less(t, started.core.electionDeadline.Sub(started.clock), DefaultElectionTimeout)
 	c.elect(1, 2, 3)
 	c.exchange(among(1, 2, 3))
@@ -259,7 +259,7 @@
 	require.Equal(t, Leader, c.nodes[2].core.role)
 	require.Equal(t, RefusedChangePending, change(2, 5))
 	c.nodes[2].clock = c.nodes[2].clock.Add(DefaultHeartbeat)
-	c.step(c.nodes[2], Wake{})
+	c.step(c.nodes[2], DeadlineReached{})
 	c.exchange(among(2, 3))
 	require.Equal(t, Accepted, change(2, 5))
 }
@@ -285,12 +285,12 @@
 	c.elect(1, 2, 3)
 	c.inFlight = nil
 	c.nodes[1].clock = c.nodes[1].clock.Add(2 * DefaultElectionTimeout)
-	c.step(c.nodes[1], Wake{})
+	c.step(c.nodes[1], DeadlineReached{})
 	require.NotEqual(t, Leader, c.nodes[1].core.role)
 	term := c.nodes[1].core.hardState.Term
 	for range 20 {
 		c.nodes[1].clock = c.nodes[1].clock.Add(2 * DefaultElectionTimeout)
-		c.step(c.nodes[1], Wake{})
+		c.step(c.nodes[1], DeadlineReached{})
 	}
 	require.Equal(t, term, c.nodes[1].core.hardState.Term)
 }
@@ -303,7 +303,7 @@
 	term := c.nodes[1].core.hardState.Term
 	for range 20 {
 		c.nodes[3].clock = c.nodes[3].clock.Add(2 * DefaultElectionTimeout)
-		c.step(c.nodes[3], Wake{})
+		c.step(c.nodes[3], DeadlineReached{})
 	}
 	require.Equal(t, PreCandidate, c.nodes[3].core.role)
 	last := c.proposeOn(1, []byte("meanwhile"))
@@ -311,7 +311,7 @@
 	require.Equal(t, last, c.nodes[1].core.commit)
 	c.exchange(among(1, 2, 3))
 	c.nodes[1].clock = c.nodes[1].clock.Add(DefaultHeartbeat)
-	c.step(c.nodes[1], Wake{})
+	c.step(c.nodes[1], DeadlineReached{})
 	c.exchange(among(1, 2, 3))
 	require.Equal(t, Leader, c.nodes[1].core.role)
 	for _, id := range []uint64{1, 2, 3} {
@@ -333,7 +333,7 @@
 	c.deliverAccepted(func(message Message) bool { return message.To == 2 })
 	c.step(halted, Receive{Message: Message{Type: MessageVote, From: 3, To: 2, Term: 99, LogIndex: 99, LogTerm: 99}})
 	halted.clock = halted.clock.Add(time.Hour)
-	require.Empty(t, c.step(halted, Wake{}).Messages)
+	require.Empty(t, c.step(halted, DeadlineReached{}).Messages)
 	require.Empty(t, halted.unsynced)
 	for _, message := range c.inFlight[min(before, len(c.inFlight)):] {
 		require.NotEqual(t, uint64(2), message.From)
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -49,9 +49,9 @@
 	return &Client{voters: voters}
 }
 
-// OnWaiting sets a function that is called after each round over all voters
+// OnRetry sets a function that is called after each round over all voters
 // without a definite answer, with the last error of each voter.
-func (c *Client) OnWaiting(onRetry func(why string)) { c.onRetry = onRetry }
+func (c *Client) OnRetry(onRetry func(why string)) { c.onRetry = onRetry }
 
 // Apply submits a configuration and resends it under the same change id until it
 // gets a definite answer. voter.ErrOutcomeUnknown means that the context ended
--- a/internal/control/client_errors_test.go
+++ b/internal/control/client_errors_test.go
@@ -98,7 +98,7 @@
 	ctx, cancel := context.WithCancel(testContext(t))
 	defer cancel()
 	rounds := 0
-	client.OnWaiting(func(why string) {
+	client.OnRetry(func(why string) {
 		rounds++
 		if rounds == 3 {
 			require.Contains(t, why, unusedAddress+": ")
--- a/internal/control/config_status.go
+++ b/internal/control/config_status.go
@@ -38,7 +38,7 @@
 		Term:            status.Term,
 		CommitIndex:     status.Commit,
 		Revision:        s.server.latest().Number,
-		RevisionInForce: s.server.root.RevisionInForce(),
+		RevisionInForce: s.server.root.ActiveRevision(),
 		Voters:          wireVoterStatus(status),
 		Nodes:           s.server.root.Nodes(),
 		Machines:        s.server.root.Machines(),
--- a/internal/control/recover.go
+++ b/internal/control/recover.go
@@ -49,11 +49,11 @@
 	// least.
 	LastIndex uint64
 	LastTerm  uint64
-	// Found is the latest revision of the survivor.
-	Found uint64
-	// First is the first revision of the new group. It has the text of the
+	// SurvivorRevision is the latest revision of the survivor.
+	SurvivorRevision uint64
+	// FirstRevision is the first revision of the new group. It has the text of the
 	// survivor's latest revision.
-	First uint64
+	FirstRevision uint64
 }
 
 // Run reads the survivor's folder and writes the new one. All log entries are
@@ -79,7 +79,7 @@
 	if err != nil {
 		return Recovered{}, err
 	}
-	recovered := Recovered{LastIndex: survivor.index, LastTerm: survivor.term, Found: survivor.machine.Latest().Number}
+	recovered := Recovered{LastIndex: survivor.index, LastTerm: survivor.term, SurvivorRevision: survivor.machine.Latest().Number}
 	membership, err := r.membership(survivor.membership)
 	if err != nil {
 		return Recovered{}, err
@@ -87,7 +87,7 @@
 	if err := r.resubmitLatest(survivor.machine, now); err != nil {
 		return Recovered{}, err
 	}
-	recovered.First = survivor.machine.Latest().Number
+	recovered.FirstRevision = survivor.machine.Latest().Number
 	data, err := survivor.machine.Snapshot()
 	if err != nil {
 		return Recovered{}, err
--- a/internal/control/recover_test.go
+++ b/internal/control/recover_test.go
@@ -39,8 +39,8 @@
 
 	recovered, err := recovery.Run(time.Now())
 	require.NoError(t, err)
-	require.Equal(t, uint64(7), recovered.Found)
-	require.Equal(t, uint64(10), recovered.First)
+	require.Equal(t, uint64(7), recovered.SurvivorRevision)
+	require.Equal(t, uint64(10), recovered.FirstRevision)
 	_, err = recovery.Run(time.Now())
 	require.Equal(t, exitcode.DataFolder, exitcode.Of(err), "a folder that is not empty: %v", err)
 
--- a/internal/controlclient/source.go
+++ b/internal/controlclient/source.go
@@ -125,7 +125,7 @@
 	if s.recordObservation(address, membershipStates[state]) {
 		// The call in flight does not contain this state. Poke is called without
 		// s.mutex, because the follower calls the sink while it holds its own lock.
-		s.follower.Poke()
+		s.follower.Interrupt()
 	}
 }
 
@@ -157,7 +157,7 @@
 }
 
 // Leave implements router.ConfigSource.
-func (s *Source) Leave(ctx context.Context) error { return s.follower.Leave(ctx) }
+func (s *Source) Leave(ctx context.Context) error { return s.follower.Deregister(ctx) }
 
 // Describe implements router.ConfigSource.
 func (s *Source) Describe() string { return "control through " + strings.Join(s.upstreams, ", ") }
@@ -206,11 +206,11 @@
 }
 
 var membershipStates = map[query.MachineState]membership.State{
-	query.MachineLive: membership.Live, query.MachineLeaving: membership.Leaving, query.MachineGone: membership.Gone,
+	query.MachineLive: membership.Live, query.MachineDraining: membership.Leaving, query.MachineRemoved: membership.Gone,
 }
 
 var queryStates = map[membership.State]query.MachineState{
-	membership.Live: query.MachineLive, membership.Leaving: query.MachineLeaving, membership.Gone: query.MachineGone,
+	membership.Live: query.MachineLive, membership.Leaving: query.MachineDraining, membership.Gone: query.MachineRemoved,
 }
 
 // followerSink passes what the follower receives to the router.
--- a/internal/directory/cluster_test.go
+++ b/internal/directory/cluster_test.go
@@ -98,7 +98,7 @@
 	logger.AddHook(c.logged[index])
 	node, err := directory.Open(directory.Config{
 		Name: "node-" + strconv.Itoa(index), PeerAddress: c.addresses[index], Seeds: c.seeds, Bootstrap: bootstrap,
-		Folder: c.folders[index], Losses: c.losses, HeartbeatInterval: 300 * time.Millisecond, CheckDocument: checkDocument, ReadLimits: readLimits, CanaryShare: 0.1, QuotaTolerance: quota.Tolerance{Over: 0.1, Slack: 20},
+		Folder: c.folders[index], Losses: c.losses, HeartbeatInterval: 300 * time.Millisecond, CheckDocument: checkDocument, ReadLimits: readLimits, CanaryShare: 0.1, QuotaTolerance: quota.Tolerance{Fraction: 0.1, Slack: 20},
 	}, directory.Environment{Logger: logger, Registerer: prometheus.NewRegistry(), WrapStore: c.disks[index].Wrap})
 	require.NoError(c.t, err)
 	listener, err := net.Listen("tcp4", c.addresses[index])
--- a/internal/directory/departing.go
+++ b/internal/directory/departing.go
@@ -63,14 +63,14 @@
 func (n *Node) newDeparture(name string, startTime int64) (message departMessage, recorded bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	state, starts := n.member.state(), n.registry.Starts(name)
+	state, starts := n.member.state(), n.registry.Incarnations(name)
 	if startTime == 0 {
 		message = departMessage{ID: name, Starts: lo.Without(starts, name), Name: name, Known: n.knowsServer(name)}
 		// A name that is itself an id is never reused.
 		return message, state.hasDeparted(name) && len(starts) == 1 && starts[0] == name
 	}
 	message = departMessage{ID: registry.LifeID(name, startTime), Start: &departedStart{Name: name, StartTime: startTime}}
-	message.Starts = n.registry.Former(message.ID)
+	message.Starts = n.registry.Superseded(message.ID)
 	if !lo.Contains(starts, message.ID) {
 		// The server's heartbeats, if any, may not have named a start.
 		message.Starts = []string{name}
@@ -82,7 +82,7 @@
 // later start. Once the node is settled, the registry shows whether servers keep their names at
 // all. The caller holds the mutex.
 func (n *Node) knowsServer(name string) bool {
-	return n.registry.Heard(steadyclock.Now(), name) || n.settled && !n.registry.KeepNames()
+	return n.registry.MayDepart(steadyclock.Now(), name) || n.settled && !n.registry.StableNames()
 }
 
 // startsTimeout bounds the query to the other nodes for the known starts of a server.
@@ -103,7 +103,7 @@
 func (n *Node) knownStarts(request startsRequest) startsReply {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return startsReply{Known: n.registry.Heard(steadyclock.Now(), request.Name), Starts: n.registry.Starts(request.Name)}
+	return startsReply{Known: n.registry.MayDepart(steadyclock.Now(), request.Name), Starts: n.registry.Incarnations(request.Name)}
 }
 
 // queryStarts queries all other nodes concurrently for the starts of a server and adds them to
@@ -151,12 +151,12 @@
 	ids, known := append([]string{message.ID}, message.Starts...), true
 	if message.Name != "" {
 		proposed.Names = []string{message.Name}
-		ids = append(ids, n.registry.Starts(message.Name)...)
+		ids = append(ids, n.registry.Incarnations(message.Name)...)
 		known = message.Known || n.knowsServer(message.Name)
 	}
 	if message.Start != nil {
 		proposed.Starts = []departedStart{*message.Start}
-		ids = append(ids, n.registry.Former(message.ID)...)
+		ids = append(ids, n.registry.Superseded(message.ID)...)
 	}
 	proposed.Departures = lo.Uniq(ids)
 	return proposed, known
--- a/internal/directory/evacuations_test.go
+++ b/internal/directory/evacuations_test.go
@@ -78,11 +78,11 @@
 	first, err := node.Follow(ctx, directory.FollowRequest{Router: directory.Router{Name: "g"}})
 	require.NoError(t, err)
 	require.Empty(t, first.Evacuated)
-	require.EqualValues(t, 2, first.Evacuations)
-	known := directory.FollowRequest{Router: directory.Router{Name: "g"}, Evacuations: 1}
+	require.EqualValues(t, 2, first.EvacuationRevision)
+	known := directory.FollowRequest{Router: directory.Router{Name: "g"}, EvacuationRevision: 1}
 	again, err := node.Follow(ctx, known)
 	require.NoError(t, err)
-	require.EqualValues(t, 2, again.Evacuations)
+	require.EqualValues(t, 2, again.EvacuationRevision)
 }
 
 func TestMinorityDoesNotAcknowledgeAnEvacuation(t *testing.T) {
--- a/internal/directory/following.go
+++ b/internal/directory/following.go
@@ -79,7 +79,7 @@
 		Nodes: lo.Map(n.status().Members, func(m consensus.MemberStatus, _ int) string { return m.Address }),
 	}
 	reply.RoutersDigest, reply.AbsentDigest = routers.routersDigest, routers.absentDigest
-	routersDiffer, absentDiffer := routers.routersDigest != request.Routers, routers.absentDigest != request.Absent
+	routersDiffer, absentDiffer := routers.routersDigest != request.RoutersDigest, routers.absentDigest != request.AbsentDigest
 	if routersDiffer {
 		reply.Routers = routers.routers
 	}
@@ -87,26 +87,26 @@
 		reply.Absent = routers.absent
 	}
 	evacuated, revision := state.evacuations()
-	evacuationsDiffer := revision > request.Evacuations
-	if reply.Evacuations = revision; evacuationsDiffer {
+	evacuationsDiffer := revision > request.EvacuationRevision
+	if reply.EvacuationRevision = revision; evacuationsDiffer {
 		reply.Evacuated = zoneNames(evacuated)
 	}
-	reply.Quarantine, reply.QuarantineEntries = state.quarantineUpdate(request.Quarantine)
-	quarantineDiffers := reply.Quarantine > request.Quarantine
+	reply.QuarantineRevision, reply.QuarantineEntries = state.quarantineUpdate(request.QuarantineRevision)
+	quarantineDiffers := reply.QuarantineRevision > request.QuarantineRevision
 	reply.MeteredDigest = n.meteredDigest
-	meteredDiffers := n.meteredDigest != request.Metered
+	meteredDiffers := n.meteredDigest != request.MeteredDigest
 	if meteredDiffers {
 		reply.Metered = n.metered.Tenants
 	}
-	reply.Rollouts, reply.RolloutRevision = n.rolloutUpdate(state, request.Rollouts)
-	rolloutsDiffer := reply.RolloutRevision > request.Rollouts
+	reply.Rollouts, reply.RolloutRevision = n.rolloutUpdate(state, request.RolloutRevision)
+	rolloutsDiffer := reply.RolloutRevision > request.RolloutRevision
 	sameSource := request.Source == n.source
 	since := request.Revision
 	if !sameSource {
 		since, request.Departures, request.DepartedNames = 0, 0, 0
 	}
-	reply.Whole = !sameSource
-	reply.Instances = n.registry.Since(now, since)
+	reply.Complete = !sameSource
+	reply.Instances = n.registry.ChangedSince(now, since)
 	reply.Departed, reply.Departures = state.departures(request.Departures)
 	reply.DepartedNames = state.departedNames(request.DepartedNames)
 	hasUpdates = !sameSource || len(reply.Instances) > 0 || len(reply.Departed) > 0 || len(reply.DepartedNames) > 0 || reply.Version > 0 || routersDiffer || absentDiffer || evacuationsDiffer || quarantineDiffers || meteredDiffers || rolloutsDiffer
--- a/internal/directory/formation.go
+++ b/internal/directory/formation.go
@@ -58,7 +58,7 @@
 //     because of silence.
 func decideChange(members []memberView, candidates []candidate, rules formationRules) (consensus.Change, bool) {
 	if moved, found := findMoved(members); found {
-		return consensus.Change{Kind: consensus.MoveMember, ID: moved.ID, Address: moved.ReachedAt}, true
+		return consensus.Change{Kind: consensus.UpdateMemberAddress, ID: moved.ID, Address: moved.ReachedAt}, true
 	}
 	if wiped, found := findWiped(members, candidates); found {
 		return consensus.Change{Kind: consensus.RemoveMember, ID: wiped}, true
--- a/internal/directory/formation_test.go
+++ b/internal/directory/formation_test.go
@@ -59,7 +59,7 @@
 		"a silent voter is removed once there is one too many": {append(fiveVoters(2), view(9, "z", 0)), nil, consensus.Change{Kind: consensus.RemoveMember, ID: 2}},
 		"six healthy voters stay":                              {append(fiveVoters(), view(9, "z", 0)), nil, consensus.Change{}},
 		"a voter with a wiped disk is removed first":           {fiveVoters(), []candidate{{ID: 9, Address: "c"}}, consensus.Change{Kind: consensus.RemoveMember, ID: 2}},
-		"the new address of a moved member is recorded":        {moved, []candidate{unknown}, consensus.Change{Kind: consensus.MoveMember, ID: 2, Address: "y"}},
+		"the new address of a moved member is recorded":        {moved, []candidate{unknown}, consensus.Change{Kind: consensus.UpdateMemberAddress, ID: 2, Address: "y"}},
 		"a member at another one's address removes nobody":     {fiveVoters(), []candidate{{ID: 3, Address: "c"}}, consensus.Change{}},
 		"a member that requests membership is not added":       {fiveVoters(2), []candidate{{ID: 3, Address: "d"}}, consensus.Change{}},
 	} {
@@ -93,7 +93,7 @@
 			}
 		}
 		change, wanted := decideChange(members, candidates, rules)
-		if change.Kind == consensus.MoveMember {
+		if change.Kind == consensus.UpdateMemberAddress {
 			moved, _ := lo.Find(members, func(m memberView) bool { return m.ID == change.ID })
 			require.Equal(t, moved.ReachedAt, change.Address)
 			require.NotEqual(t, moved.Address, change.Address)
--- a/internal/directory/group.go
+++ b/internal/directory/group.go
@@ -55,8 +55,8 @@
 	// Each member counts at one address only, even if it has just moved from another seed's
 	// address.
 	member := n.member.voter()
-	members := lo.Map(n.status().Members, func(m consensus.MemberStatus, _ int) string { return member.ReachedAt(m.ID) })
-	return n.group().Serves(seeds, members)
+	members := lo.Map(n.status().Members, func(m consensus.MemberStatus, _ int) string { return member.AddressOf(m.ID) })
+	return n.group().MatchesSeeds(seeds, members)
 }
 
 func (n *Node) recordMisdirected(refused *addressee.MisdirectedError) {
--- a/internal/directory/group_test.go
+++ b/internal/directory/group_test.go
@@ -32,7 +32,7 @@
 	require.NoError(t, err)
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+path, bytes.NewReader(body))
 	require.NoError(t, err)
-	addressee.Mark(request.Header, addressee.Identity{Group: group})
+	addressee.SetHeaders(request.Header, addressee.Identity{Group: group})
 	response, err := http.DefaultClient.Do(request)
 	require.NoError(t, err)
 	require.NoError(t, response.Body.Close())
--- a/internal/directory/joining.go
+++ b/internal/directory/joining.go
@@ -117,7 +117,7 @@
 	}
 	status := n.status()
 	if lo.ContainsBy(status.Members, func(m consensus.MemberStatus) bool { return m.ID == request.ID }) {
-		n.member.voter().Hear(request.ID, request.Address)
+		n.member.voter().ObserveAddress(request.ID, request.Address)
 	}
 	reply := joinReply{Group: lo.Map(status.Members, func(m consensus.MemberStatus, _ int) string { return m.Address })}
 	if status.Role != consensus.Leader {
@@ -182,7 +182,7 @@
 		} else if _, recorded := n.silentSince[member.ID]; !recorded {
 			n.silentSince[member.ID] = now
 		}
-		view := memberView{MemberStatus: member, ReachedAt: n.member.voter().ReachedAt(member.ID)}
+		view := memberView{MemberStatus: member, ReachedAt: n.member.voter().AddressOf(member.ID)}
 		if since, silent := n.silentSince[member.ID]; silent {
 			view.SilentFor = now.Sub(since)
 		}
@@ -216,8 +216,8 @@
 	switch change.Kind {
 	case consensus.RemoveMember:
 		kind, err = "remove", n.member.voter().RemoveVoter(changeCtx, change.ID)
-	case consensus.MoveMember:
-		kind, err = "move", n.member.voter().Move(changeCtx, change.ID, change.Address)
+	case consensus.UpdateMemberAddress:
+		kind, err = "move", n.member.voter().UpdateMemberAddress(changeCtx, change.ID, change.Address)
 	case consensus.PromoteLearner:
 		kind, err = "promote", n.member.voter().Promote(changeCtx, change.ID)
 	default:
--- a/internal/directory/machine.go
+++ b/internal/directory/machine.go
@@ -34,7 +34,7 @@
 	// Rollouts are orders of operators and steps of the leader.
 	Rollouts []rolloutCommand `json:"rollouts,omitempty"`
 	// Quarantine are orders about requests that crash servers.
-	Quarantine []quarantine.Order `json:"quarantine,omitempty"`
+	Quarantine []quarantine.Command `json:"quarantine,omitempty"`
 }
 
 // applyResult is the result of applying a command.
@@ -72,7 +72,7 @@
 	Rollouts        []Rollout `json:"rollouts,omitempty"`
 	RolloutRevision uint64    `json:"rollout_revision,omitempty"`
 	// Quarantine holds the requests that crash servers.
-	Quarantine quarantine.Book `json:"quarantine"`
+	Quarantine quarantine.Ledger `json:"quarantine"`
 }
 
 // stateMachine applies the log. It is safe for concurrent use.
@@ -134,10 +134,10 @@
 		}
 	}
 	for _, name := range decoded.Names {
-		m.departed.AddName(registry.NameDeparture{Name: name, Before: m.state.Index})
+		m.departed.AddName(registry.NameDeparture{Name: name, LogIndex: m.state.Index})
 	}
 	for _, start := range decoded.Starts {
-		m.departed.AddName(registry.NameDeparture{Name: start.Name, Before: m.state.Index, Born: start.StartTime})
+		m.departed.AddName(registry.NameDeparture{Name: start.Name, LogIndex: m.state.Index, StartedAt: start.StartTime})
 	}
 }
 
@@ -196,14 +196,14 @@
 func (m *stateMachine) departureApplies(instance registry.Instance) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.departed.Hold(instance)
+	return m.departed.Includes(instance)
 }
 
 // mayHaveDeparted reports whether an instance may be an earlier start of a departed one.
 func (m *stateMachine) mayHaveDeparted(instance registry.Instance) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.departed.Doubts(instance)
+	return m.departed.Suspects(instance)
 }
 
 // serverDeparted reports whether any start of a server has departed.
--- a/internal/directory/metrics.go
+++ b/internal/directory/metrics.go
@@ -76,7 +76,7 @@
 }
 
 // setQuarantine updates the gauges from the quarantine records.
-func (m *metrics) setQuarantine(records quarantine.Book) {
+func (m *metrics) setQuarantine(records quarantine.Ledger) {
 	quarantined := lo.CountBy(records.Records, func(r quarantine.Record) bool { return r.Quarantined })
 	m.quarantined.WithLabelValues(quarantine.Quarantined.String()).Set(float64(quarantined))
 	m.quarantined.WithLabelValues(quarantine.Suspected.String()).Set(float64(len(records.Records) - quarantined))
--- a/internal/directory/node.go
+++ b/internal/directory/node.go
@@ -45,7 +45,7 @@
 	notifyPending bool
 	demand        demand
 	// suspectReports are the reports received from routers since the last share.
-	suspectReports []Doubt
+	suspectReports []SuspectReport
 	candidates     map[string]candidate
 	// reportedMembers are the members that other nodes reported to this node while it is not a
 	// member.
@@ -97,7 +97,7 @@
 		freshnessRenewed:   make(chan struct{}),
 		quota:              leaderQuota{changed: make(chan struct{}, 1)},
 	}
-	node.registry.ClaimAtLeast(2 * heartbeatShareInterval)
+	node.registry.SetMinClaimTime(2 * heartbeatShareInterval)
 	node.SetSeeds(config.Seeds)
 	member, err := openMember(config, environment, node.peers)
 	if err != nil {
--- a/internal/directory/node_test.go
+++ b/internal/directory/node_test.go
@@ -147,7 +147,7 @@
 	require.EqualValues(t, 1, first.Version)
 	require.Equal(t, 1, first.RouterCount)
 	known := directory.FollowRequest{
-		Router: directory.Router{Name: "g"}, Version: first.Version, Source: first.Source, Revision: first.Revision, Departures: first.Departures, Routers: first.RoutersDigest,
+		Router: directory.Router{Name: "g"}, Version: first.Version, Source: first.Source, Revision: first.Revision, Departures: first.Departures, RoutersDigest: first.RoutersDigest,
 		Wait: 100 * time.Millisecond,
 	}
 	unchanged, err := node.Follow(ctx, known)
@@ -158,7 +158,7 @@
 	update, err := node.Follow(ctx, known)
 	require.NoError(t, err)
 	require.Len(t, update.Instances, 1)
-	require.False(t, update.Whole)
+	require.False(t, update.Complete)
 }
 
 // TestServerReportedDuringAPartitionIsKnownAfterIt checks that a node that missed another
--- a/internal/directory/peer_client.go
+++ b/internal/directory/peer_client.go
@@ -41,7 +41,7 @@
 var _ voter.Transport = (*peerClient)(nil)
 
 func newPeerClient() *peerClient {
-	dialer := &net.Dialer{Timeout: peerDialTimeout, KeepAlive: -1, Control: liveness.Bound(peerAckTimeout)}
+	dialer := &net.Dialer{Timeout: peerDialTimeout, KeepAlive: -1, Control: liveness.LimitUnacknowledged(peerAckTimeout)}
 	return &peerClient{http: &http.Client{Transport: &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: peerIdlePerHost, DisableCompression: true,
 	}}}
@@ -133,13 +133,13 @@
 
 func (c *peerClient) do(request *http.Request, address string) ([]byte, error) {
 	expected := addressee.Identity{Group: c.group.get()}
-	addressee.Mark(request.Header, expected)
+	addressee.SetHeaders(request.Header, expected)
 	response, err := c.http.Do(request)
 	if err != nil {
 		return nil, errors.Wrapf(ErrUnavailable, "%v", err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	if err := addressee.Check(response, expected, false); err != nil {
+	if err := addressee.CheckResponse(response, expected, false); err != nil {
 		return nil, errors.Wrapf(ErrUnavailable, "%s: %v", address, err)
 	}
 	replyBody, err := io.ReadAll(io.LimitReader(response.Body, maxPeerReplyBytes))
--- a/internal/directory/peer_messages.go
+++ b/internal/directory/peer_messages.go
@@ -51,8 +51,8 @@
 	PathQuota = "/router/quota"
 	// PathFollow is where routers poll for updates.
 	PathFollow = "/router/follow"
-	// PathDoubt is where routers report other routers that failed.
-	PathDoubt = "/router/doubt"
+	// PathSuspect is where routers report other routers that failed.
+	PathSuspect = "/router/doubt"
 )
 
 // joinRequest requests membership.
@@ -79,13 +79,13 @@
 	// Routers are those that called recently.
 	Routers []sharedRouter `json:"routers,omitempty"`
 	// SuspectReports are the recent reports by routers of others that failed.
-	SuspectReports []Doubt `json:"doubts,omitempty"`
+	SuspectReports []SuspectReport `json:"doubts,omitempty"`
 	// Settled reports that the sender's table is settled, that is, not just being rebuilt.
 	Settled bool `json:"settled,omitempty"`
 }
 
-// Doubt is a router's report of other routers that failed with a slice.
-type Doubt struct {
+// SuspectReport is a router's report of other routers that failed with a slice.
+type SuspectReport struct {
 	// By is the reporting router, Routers the ones that failed.
 	By      string   `json:"by"`
 	Routers []string `json:"routers"`
@@ -187,21 +187,21 @@
 	Departures int    `json:"departures"`
 	// DepartedNames is the highest index of a departure by name.
 	DepartedNames uint64 `json:"departed_names,omitempty"`
-	Routers       uint64 `json:"routers"`
-	Absent        uint64 `json:"absent"`
+	RoutersDigest uint64 `json:"routers"`
+	AbsentDigest  uint64 `json:"absent"`
 	// Seeds are set by a router that does not know its group.
 	Seeds []string `json:"seeds,omitempty"`
 	// Probe only asks whether the node can be followed: the reply names its source.
 	Probe bool `json:"probe,omitempty"`
-	// Evacuations is the highest revision of the evacuated zones that the router holds.
-	Evacuations uint64 `json:"evacuations,omitempty"`
-	// Quarantine is the highest revision of the requests that crash servers that the router
+	// EvacuationRevision is the highest revision of the evacuated zones that the router holds.
+	EvacuationRevision uint64 `json:"evacuations,omitempty"`
+	// QuarantineRevision is the highest revision of the requests that crash servers that the router
 	// holds.
-	Quarantine uint64 `json:"quarantine,omitempty"`
-	// Metered is the digest of the metered tenants that the router holds.
-	Metered uint64 `json:"metered,omitempty"`
-	// Rollouts is the highest revision of the rollouts that the router holds.
-	Rollouts uint64 `json:"rollouts,omitempty"`
+	QuarantineRevision uint64 `json:"quarantine,omitempty"`
+	// MeteredDigest is the digest of the metered tenants that the router holds.
+	MeteredDigest uint64 `json:"metered,omitempty"`
+	// RolloutRevision is the highest revision of the rollouts that the router holds.
+	RolloutRevision uint64 `json:"rollouts,omitempty"`
 	// Wait is how long the node may hold the call while there is no update.
 	Wait time.Duration `json:"wait"`
 }
@@ -218,8 +218,8 @@
 	// revision, or all if the router last followed another source.
 	Revision  uint64              `json:"revision"`
 	Instances []registry.Instance `json:"instances,omitempty"`
-	// Whole reports that Instances are all that the node knows.
-	Whole bool `json:"whole,omitempty"`
+	// Complete reports that Instances are all that the node knows.
+	Complete bool `json:"whole,omitempty"`
 	// Settled reports that a server that is missing from a complete table no longer exists.
 	Settled    bool     `json:"settled"`
 	Departed   []string `json:"departed,omitempty"`
@@ -242,14 +242,14 @@
 	// many routers fail.
 	Absent       []string `json:"absent,omitempty"`
 	AbsentDigest uint64   `json:"absent_digest"`
-	// Evacuations is the revision of the zones whose servers get no requests; Evacuated names
+	// EvacuationRevision is the revision of the zones whose servers get no requests; Evacuated names
 	// them if the router holds a lower revision.
-	Evacuations uint64   `json:"evacuations,omitempty"`
-	Evacuated   []string `json:"evacuated,omitempty"`
-	// Quarantine is the revision of the requests that crash servers; QuarantineEntries are all
+	EvacuationRevision uint64   `json:"evacuations,omitempty"`
+	Evacuated          []string `json:"evacuated,omitempty"`
+	// QuarantineRevision is the revision of the requests that crash servers; QuarantineEntries are all
 	// of them if the router holds a lower revision.
-	Quarantine        uint64             `json:"quarantine,omitempty"`
-	QuarantineEntries []quarantine.Entry `json:"quarantine_entries,omitempty"`
+	QuarantineRevision uint64             `json:"quarantine,omitempty"`
+	QuarantineEntries  []quarantine.Entry `json:"quarantine_entries,omitempty"`
 	// Fresh is the time, relative to the arrival of the call, at which the node last held every
 	// acknowledged document; it is negative if that was earlier. The version is at least that
 	// of the document then. Nil if the node does not report it.
@@ -257,7 +257,7 @@
 	// RolloutRevision is the revision of the rollouts; Rollouts are all of them, by service, if
 	// the router holds a lower revision.
 	RolloutRevision uint64                 `json:"rollout_revision,omitempty"`
-	Rollouts        map[string]RolloutTold `json:"rollouts,omitempty"`
+	Rollouts        map[string]RolloutRule `json:"rollouts,omitempty"`
 	// Metered are the tenants whose requests each need a token, sent if MeteredDigest differs
 	// from the router's.
 	Metered       []string `json:"metered,omitempty"`
--- a/internal/directory/peer_server.go
+++ b/internal/directory/peer_server.go
@@ -54,7 +54,7 @@
 	mux.Handle(pathEvacuations, handle(func(context.Context, struct{}) (EvacuationList, error) { return n.Evacuations(), nil }))
 	mux.Handle(pathQuarantineLeader, handle(n.quarantineAsLeader))
 	mux.Handle(PathQuarantine, handle(n.Quarantine))
-	mux.Handle(pathQuarantineList, handle(func(context.Context, struct{}) (quarantine.Book, error) { return n.QuarantineList(), nil }))
+	mux.Handle(pathQuarantineList, handle(func(context.Context, struct{}) (quarantine.Ledger, error) { return n.QuarantineList(), nil }))
 	mux.Handle(pathConfirm, handle(func(ctx context.Context, _ struct{}) (confirmReply, error) { return n.confirmAsLeader(ctx) }))
 	mux.Handle(pathQuotaLeader, handle(n.quotaAsLeader))
 	mux.Handle(PathQuota, handle(n.Quota))
@@ -70,7 +70,7 @@
 	mux.Handle(PathRollouts, handle(n.ReportRollouts))
 	mux.Handle(pathRolloutList, handle(func(ctx context.Context, _ struct{}) (RolloutList, error) { return n.rolloutsFromLeader(ctx) }))
 	mux.Handle(pathRead, handle(func(ctx context.Context, _ struct{}) (readReply, error) { return n.readAsLeader(ctx) }))
-	mux.Handle(PathDoubt, handle(func(_ context.Context, report Doubt) (struct{}, error) {
+	mux.Handle(PathSuspect, handle(func(_ context.Context, report SuspectReport) (struct{}, error) {
 		n.suspectRouters(report)
 		return struct{}{}, nil
 	}))
--- a/internal/directory/quarantine.go
+++ b/internal/directory/quarantine.go
@@ -30,7 +30,7 @@
 
 // QuarantineOrders are orders of a router or an operator about requests that crash servers.
 type QuarantineOrders struct {
-	Orders []quarantine.Order `json:"orders"`
+	Orders []quarantine.Command `json:"orders"`
 }
 
 // QuarantineReply holds the outcome of each order, and the revision of the records after them.
@@ -55,7 +55,7 @@
 	return reply, err
 }
 
-func checkOrders(orders []quarantine.Order) error {
+func checkOrders(orders []quarantine.Command) error {
 	if len(orders) == 0 || len(orders) > maxOrders {
 		return &routing.InvalidError{Detail: "a message has between 1 and 256 orders"}
 	}
@@ -87,7 +87,7 @@
 }
 
 // reportOutcome counts an order, and logs it with its evidence if it changed a standing.
-func (n *Node) reportOutcome(order quarantine.Order, outcome quarantine.Outcome) {
+func (n *Node) reportOutcome(order quarantine.Command, outcome quarantine.Outcome) {
 	n.metrics.quarantineOrders.WithLabelValues(string(order.Kind)).Inc()
 	if outcome.Before == outcome.After {
 		return
@@ -100,16 +100,16 @@
 }
 
 // applyQuarantine applies orders. The caller holds the mutex.
-func (m *stateMachine) applyQuarantine(orders []quarantine.Order) QuarantineReply {
-	outcomes := lo.Map(orders, func(order quarantine.Order, _ int) quarantine.Outcome { return m.state.Quarantine.Apply(order) })
+func (m *stateMachine) applyQuarantine(orders []quarantine.Command) QuarantineReply {
+	outcomes := lo.Map(orders, func(order quarantine.Command, _ int) quarantine.Outcome { return m.state.Quarantine.Apply(order) })
 	return QuarantineReply{Revision: m.state.Quarantine.Revision, Outcomes: outcomes}
 }
 
 // quarantine returns a copy of the quarantine records.
-func (m *stateMachine) quarantine() quarantine.Book {
+func (m *stateMachine) quarantine() quarantine.Ledger {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return quarantine.Book{Records: append([]quarantine.Record(nil), m.state.Quarantine.Records...), Revision: m.state.Quarantine.Revision}
+	return quarantine.Ledger{Records: append([]quarantine.Record(nil), m.state.Quarantine.Records...), Revision: m.state.Quarantine.Revision}
 }
 
 // quarantineUpdate returns the revision of the records, and all entries if it is above the
@@ -124,20 +124,20 @@
 }
 
 // QuarantineList returns the requests that crash servers known to this node.
-func (n *Node) QuarantineList() quarantine.Book { return n.member.state().quarantine() }
+func (n *Node) QuarantineList() quarantine.Ledger { return n.member.state().quarantine() }
 
 // ListQuarantine queries the node at a peer address for the requests that crash servers.
-func ListQuarantine(ctx context.Context, address string) (quarantine.Book, error) {
-	var list quarantine.Book
+func ListQuarantine(ctx context.Context, address string) (quarantine.Ledger, error) {
+	var list quarantine.Ledger
 	err := newPeerClient().call(ctx, address, pathQuarantineList, struct{}{}, &list)
 	return list, err
 }
 
 // LiftQuarantine has the node at a peer address end the suspicion or quarantine of a request,
 // and returns its former standing. Nil means that a quorum has synced it.
-func LiftQuarantine(ctx context.Context, address string, fingerprint quarantine.Fingerprint, by string) (quarantine.Standing, error) {
+func LiftQuarantine(ctx context.Context, address string, fingerprint quarantine.Fingerprint, by string) (quarantine.Status, error) {
 	var reply QuarantineReply
-	orders := QuarantineOrders{Orders: []quarantine.Order{{Kind: quarantine.Lift, Fingerprint: fingerprint, By: by}}}
+	orders := QuarantineOrders{Orders: []quarantine.Command{{Kind: quarantine.Lift, Fingerprint: fingerprint, By: by}}}
 	err := newPeerClient().call(ctx, address, PathQuarantine, orders, &reply)
 	if err != nil || len(reply.Outcomes) == 0 {
 		return quarantine.Unknown, err
@@ -149,20 +149,20 @@
 type quarantineAges map[quarantine.Fingerprint]quarantineAge
 
 type quarantineAge struct {
-	standing quarantine.Standing
+	standing quarantine.Status
 	since    time.Time
 }
 
 // expired updates the ages from the current records and returns the orders that end expired
 // ones.
-func (a quarantineAges) expired(now time.Time, records []quarantine.Record) []quarantine.Order {
+func (a quarantineAges) expired(now time.Time, records []quarantine.Record) []quarantine.Command {
 	present := make(map[quarantine.Fingerprint]bool, len(records))
-	var orders []quarantine.Order
+	var orders []quarantine.Command
 	for _, record := range records {
 		present[record.Fingerprint] = true
 		age, known := a[record.Fingerprint]
-		if !known || age.standing != record.Standing() {
-			a[record.Fingerprint] = quarantineAge{standing: record.Standing(), since: now}
+		if !known || age.standing != record.Status() {
+			a[record.Fingerprint] = quarantineAge{standing: record.Status(), since: now}
 			continue
 		}
 		lifetime := suspicionLifetime
@@ -170,7 +170,7 @@
 			lifetime = quarantineLifetime
 		}
 		if now.Sub(age.since) >= lifetime {
-			orders = append(orders, quarantine.Order{Kind: quarantine.Expire, Fingerprint: record.Fingerprint})
+			orders = append(orders, quarantine.Command{Kind: quarantine.Expire, Fingerprint: record.Fingerprint})
 		}
 	}
 	for fingerprint := range a {
--- a/internal/directory/quarantine_age_test.go
+++ b/internal/directory/quarantine_age_test.go
@@ -19,7 +19,7 @@
 	start := time.Unix(1000, 0)
 	ages := quarantineAges{}
 	expired := func(after time.Duration) []quarantine.Fingerprint {
-		return lo.Map(ages.expired(start.Add(after), records), func(o quarantine.Order, _ int) quarantine.Fingerprint {
+		return lo.Map(ages.expired(start.Add(after), records), func(o quarantine.Command, _ int) quarantine.Fingerprint {
 			require.Equal(t, quarantine.Expire, o.Kind)
 			return o.Fingerprint
 		})
--- a/internal/directory/quarantine_test.go
+++ b/internal/directory/quarantine_test.go
@@ -17,7 +17,7 @@
 }
 
 // sendOrders sends orders until some node has applied them.
-func (c *cluster) sendOrders(orders ...quarantine.Order) (reply directory.QuarantineReply) {
+func (c *cluster) sendOrders(orders ...quarantine.Command) (reply directory.QuarantineReply) {
 	c.t.Helper()
 	c.eventually("no node applies the orders", func(node *runningNode) bool {
 		var err error
@@ -28,20 +28,20 @@
 }
 
 // hasStanding reports whether a node reports a request's standing to a router.
-func hasStanding(fingerprint quarantine.Fingerprint, standing quarantine.Standing) func(*runningNode) bool {
+func hasStanding(fingerprint quarantine.Fingerprint, standing quarantine.Status) func(*runningNode) bool {
 	return func(node *runningNode) bool {
 		reply, err := node.Follow(context.Background(), directory.FollowRequest{Router: directory.Router{Name: "test"}})
 		if err != nil {
 			return false
 		}
 		var view quarantine.View
-		view.Take(reply.Quarantine, reply.QuarantineEntries)
-		return view.Standing(fingerprint) == standing
+		view.Update(reply.QuarantineRevision, reply.QuarantineEntries)
+		return view.Status(fingerprint) == standing
 	}
 }
 
-func quarantined(target string) []quarantine.Order {
-	return []quarantine.Order{
+func quarantined(target string) []quarantine.Command {
+	return []quarantine.Command{
 		{Kind: quarantine.Report, Fingerprint: fingerprintOf(target), Servers: []string{"i-1", "i-2"}, Route: "r", Caller: "10.0.0.9", By: "g"},
 		{Kind: quarantine.Try, Fingerprint: fingerprintOf(target), By: "g"},
 		{Kind: quarantine.Report, Fingerprint: fingerprintOf(target), Servers: []string{"i-3"}, Tried: true, By: "g"},
@@ -95,7 +95,7 @@
 	c := newCluster(t, 1)
 	c.startAll(true)
 	var invalid *routing.InvalidError
-	for _, orders := range [][]quarantine.Order{nil, {{Kind: "other"}}, make([]quarantine.Order, 300)} {
+	for _, orders := range [][]quarantine.Command{nil, {{Kind: "other"}}, make([]quarantine.Command, 300)} {
 		_, err := c.nodes[0].Quarantine(context.Background(), directory.QuarantineOrders{Orders: orders})
 		require.ErrorAs(t, err, &invalid)
 	}
--- a/internal/directory/quota.go
+++ b/internal/directory/quota.go
@@ -67,7 +67,7 @@
 		return quota.Reply{}, err
 	}
 	defer release()
-	reply := ledger.Take(steadyclock.Now(), message)
+	reply := ledger.Process(steadyclock.Now(), message)
 	if ledger.Revision() != n.quota.publishedRevision {
 		select {
 		case n.quota.changed <- struct{}{}:
@@ -169,7 +169,7 @@
 	metered := MeteredTenants{Term: n.quota.term, Revision: revision, Tenants: names}
 	changed := revision != n.quota.publishedRevision
 	n.quota.publishedRevision = revision
-	limited := ledger.Limited()
+	limited := ledger.HasLimits()
 	release()
 	if !limited && revision == 0 || !changed && !force {
 		return
--- a/internal/directory/quota_test.go
+++ b/internal/directory/quota_test.go
@@ -63,7 +63,7 @@
 		require.NoError(t, err)
 		settled = time.Since(requestedAt) >= request.Wait && request.Wait > 0
 		request.Source, request.Revision, request.Departures = reply.Source, reply.Revision, reply.Departures
-		request.Routers, request.Absent = reply.RoutersDigest, reply.AbsentDigest
+		request.RoutersDigest, request.AbsentDigest = reply.RoutersDigest, reply.AbsentDigest
 		request.Version, request.Wait = max(request.Version, reply.Version), 900*time.Millisecond
 	}
 	require.Greater(t, *reply.Fresh, time.Duration(0), "confirmed while the call was held")
--- a/internal/directory/rollout_steps.go
+++ b/internal/directory/rollout_steps.go
@@ -27,8 +27,8 @@
 type ServiceReport struct {
 	Number   uint64           `json:"number"`
 	Evidence rollout.Evidence `json:"evidence"`
-	// Old is the number of attempts in flight at servers of versions other than the new one.
-	Old int `json:"old"`
+	// OldInFlight is the number of attempts in flight at servers of versions other than the new one.
+	OldInFlight int `json:"old"`
 }
 
 // maxReports bounds the router starts whose reports are kept.
@@ -66,7 +66,7 @@
 	}
 	for _, router := range routers {
 		report, known := latest[router.Name]
-		if !known || report.Revision < revision || report.Services[service].Old > 0 {
+		if !known || report.Revision < revision || report.Services[service].OldInFlight > 0 {
 			return false
 		}
 	}
@@ -126,9 +126,9 @@
 	progressByNumber[current.Number] = tracked
 	n.mutex.Lock()
 	situation := rollout.Situation{
-		Phase: current.Phase, Elapsed: now.Sub(tracked.startedAt), Inside: now.Sub(tracked.phaseEnteredAt), Duration: current.Duration,
+		Phase: current.Phase, Elapsed: now.Sub(tracked.startedAt), InPhase: now.Sub(tracked.phaseEnteredAt), Duration: current.Duration,
 		Evidence: n.rolloutReports.sum(current.Service, current.Number),
-		Quiet:    n.rolloutReports.drained(n.routers.activeWithin(now, routerLiveness), revision, current.Service),
+		Drained:  n.rolloutReports.drained(n.routers.activeWithin(now, routerLiveness), revision, current.Service),
 	}
 	n.mutex.Unlock()
 	next := rollout.Decide(situation)
@@ -136,7 +136,7 @@
 		return
 	}
 	step := rolloutCommand{Rollout: current, From: current.Phase}
-	step.Phase, step.Why, step.Changed = next.Phase, next.Why, time.Now().UTC() // wall clock, since operators read it.
+	step.Phase, step.Reason, step.Changed = next.Phase, next.Reason, time.Now().UTC() // wall clock, since operators read it.
 	proposeCtx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	if _, err := n.propose(proposeCtx, command{Rollouts: []rolloutCommand{step}}); err != nil {
--- a/internal/directory/rollouts.go
+++ b/internal/directory/rollouts.go
@@ -20,8 +20,8 @@
 	Service string        `json:"service"`
 	Target  string        `json:"target"`
 	Phase   rollout.Phase `json:"phase"`
-	// Why is the reason of the last step.
-	Why string `json:"why,omitempty"`
+	// Reason is the reason of the last step.
+	Reason string `json:"why,omitempty"`
 	// Number identifies the order.
 	Number uint64 `json:"number"`
 	// Barred are versions that earlier rollouts of the service rolled back.
@@ -41,9 +41,9 @@
 	From rollout.Phase `json:"from,omitempty"`
 }
 
-// RolloutTold is the rule for a service's rollout that routers apply, with the number of the
+// RolloutRule is the rule for a service's rollout that routers apply, with the number of the
 // rollout.
-type RolloutTold struct {
+type RolloutRule struct {
 	rollout.Rule
 	Number uint64 `json:"number"`
 }
@@ -215,7 +215,7 @@
 	}
 	m.state.RolloutRevision++
 	rollouts := slices.Clone(m.state.Rollouts)
-	rollouts[index].Phase, rollouts[index].Why, rollouts[index].Changed = step.Phase, step.Why, step.Changed
+	rollouts[index].Phase, rollouts[index].Reason, rollouts[index].Changed = step.Phase, step.Reason, step.Changed
 	m.state.Rollouts = rollouts
 }
 
@@ -228,16 +228,16 @@
 
 // rolloutUpdate returns the rollout rules if their revision is above the one that a router
 // holds, and the revision.
-func (n *Node) rolloutUpdate(state *stateMachine, above uint64) (map[string]RolloutTold, uint64) {
+func (n *Node) rolloutUpdate(state *stateMachine, above uint64) (map[string]RolloutRule, uint64) {
 	rollouts, revision := state.rollouts()
 	if revision <= above {
 		return nil, revision
 	}
 	limits := rollout.Limits{CanaryShare: n.config.CanaryShare}
-	return lo.SliceToMap(rollouts, func(current Rollout) (string, RolloutTold) {
-		rule := rollout.RuleOf(current.Target, current.Phase, limits)
+	return lo.SliceToMap(rollouts, func(current Rollout) (string, RolloutRule) {
+		rule := rollout.RuleForPhase(current.Target, current.Phase, limits)
 		rule.Barred = current.Barred
-		return current.Service, RolloutTold{Rule: rule, Number: current.Number}
+		return current.Service, RolloutRule{Rule: rule, Number: current.Number}
 	}), revision
 }
 
@@ -253,11 +253,11 @@
 			continue
 		}
 		n.logger.WithFields(logrus.Fields{
-			"service": current.Service, "target": current.Target, "phase": current.Phase, "before": before, "why": current.Why, "number": current.Number,
+			"service": current.Service, "target": current.Target, "phase": current.Phase, "before": before, "why": current.Reason, "number": current.Number,
 		}).Info("rollout_changed")
 		if before.Running() && current.Phase == rollout.Done {
 			n.mutex.Lock()
-			marked := n.registry.LeaveOthers(current.Service, current.Target)
+			marked := n.registry.MarkOtherVersionsLeaving(current.Service, current.Target)
 			n.mutex.Unlock()
 			n.logger.WithField("service", current.Service).WithField("servers", marked).Info("replaced_servers_leave")
 		}
--- a/internal/directory/rollouts_test.go
+++ b/internal/directory/rollouts_test.go
@@ -24,10 +24,10 @@
 
 // rolloutAt returns the rollout of a service that a node reports to a router, and the complete
 // reply.
-func rolloutAt(node *runningNode, service string) (directory.RolloutTold, directory.FollowReply) {
+func rolloutAt(node *runningNode, service string) (directory.RolloutRule, directory.FollowReply) {
 	reply, err := node.Follow(context.Background(), directory.FollowRequest{Router: directory.Router{Name: "test"}})
 	if err != nil {
-		return directory.RolloutTold{}, reply
+		return directory.RolloutRule{}, reply
 	}
 	return reply.Rollouts[service], reply
 }
@@ -57,7 +57,7 @@
 	c.eventually("no node accepts the report", func(node *runningNode) bool {
 		_, err := node.ReportRollouts(context.Background(), directory.RolloutReport{
 			Router: "test", Start: "test/1", Revision: revision,
-			Services: map[string]directory.ServiceReport{"s": {Number: number, Evidence: evidence, Old: old}},
+			Services: map[string]directory.ServiceReport{"s": {Number: number, Evidence: evidence, OldInFlight: old}},
 		})
 		return err == nil
 	})
@@ -111,7 +111,7 @@
 	c.eventuallyEverywhere("not rolled back", inPhase(rollout.RolledBack))
 	list, err := directory.ListRollouts(context.Background(), c.addresses[0])
 	require.NoError(t, err)
-	require.Contains(t, list.Rollouts[0].Why, "failures: 20 of 40")
+	require.Contains(t, list.Rollouts[0].Reason, "failures: 20 of 40")
 	require.Equal(t, "10.0.0.9:1", list.Rollouts[0].By)
 	c.startRollout("s", "v3", time.Hour)
 	c.eventuallyEverywhere("the next rollout is not started", inPhase(rollout.Canary))
--- a/internal/directory/routers.go
+++ b/internal/directory/routers.go
@@ -71,7 +71,7 @@
 
 // recordSuspects records a router's report of others that failed, and reports whether one of
 // them has become absent by it.
-func (t routerTable) recordSuspects(now time.Time, report Doubt) bool {
+func (t routerTable) recordSuspects(now time.Time, report SuspectReport) bool {
 	changed := false
 	for _, name := range report.Routers {
 		known, exists := t[name]
--- a/internal/directory/routers_test.go
+++ b/internal/directory/routers_test.go
@@ -41,13 +41,13 @@
 	}
 	after := func(step time.Duration) time.Time { now = now.Add(step); return now }
 	for range 5 {
-		require.False(t, table.recordSuspects(after(time.Millisecond), Doubt{By: "b", Routers: []string{"a", "b", "unknown"}}))
+		require.False(t, table.recordSuspects(after(time.Millisecond), SuspectReport{By: "b", Routers: []string{"a", "b", "unknown"}}))
 	}
 	require.Empty(t, table.list(now).absent)
-	require.True(t, table.recordSuspects(after(time.Millisecond), Doubt{By: "c", Routers: []string{"a"}}))
+	require.True(t, table.recordSuspects(after(time.Millisecond), SuspectReport{By: "c", Routers: []string{"a"}}))
 	require.Equal(t, []string{"a"}, table.list(now).absent)
 	require.True(t, table.recordCall(after(time.Millisecond), sharedRouter{Router: Router{Name: "a", Address: "a:1"}}, true), "it called again")
 	require.Empty(t, table.list(now).absent)
-	require.False(t, table.recordSuspects(after(time.Millisecond), Doubt{By: "b", Routers: []string{"a"}}))
-	require.False(t, table.recordSuspects(after(suspectReportLifetime+time.Millisecond), Doubt{By: "c", Routers: []string{"a"}}), "the first report has expired")
+	require.False(t, table.recordSuspects(after(time.Millisecond), SuspectReport{By: "b", Routers: []string{"a"}}))
+	require.False(t, table.recordSuspects(after(suspectReportLifetime+time.Millisecond), SuspectReport{By: "c", Routers: []string{"a"}}), "the first report has expired")
 }
--- a/internal/directory/settings.go
+++ b/internal/directory/settings.go
@@ -46,6 +46,6 @@
 		Folder: o.DataFolder, Losses: o.Losses, HeartbeatInterval: o.HeartbeatInterval,
 		CheckDocument: documents.Check, ReadLimits: documents.Limits,
 		CanaryShare:    o.CanaryShare,
-		QuotaTolerance: quota.Tolerance{Over: o.QuotaOver, Slack: o.QuotaSlack, Window: o.QuotaWindow},
+		QuotaTolerance: quota.Tolerance{Fraction: o.QuotaOver, Slack: o.QuotaSlack, Window: o.QuotaWindow},
 	}
 }
--- a/internal/directory/sharing.go
+++ b/internal/directory/sharing.go
@@ -21,7 +21,7 @@
 	// Under the mutex, so that a departure applied later finds the server in the table.
 	if !n.registry.Knows(instance.ID) {
 		state := n.member.state()
-		instance.Since = state.nextIndex()
+		instance.KnownSinceIndex = state.nextIndex()
 		instance.Replaced = instance.Sequence > n.initialHeartbeats() && state.serverDeparted(registry.NameOf(instance.ID))
 	}
 	if n.updateTable(n.member.state(), instance) {
@@ -42,7 +42,7 @@
 
 // logReplaced logs which instances were replaced by others. The caller holds the mutex.
 func (n *Node) logReplaced() {
-	for _, replaced := range n.registry.TakeReplaced() {
+	for _, replaced := range n.registry.TakeReplacements() {
 		suppressed, allowed := n.replacedLogLimit.Take(steadyclock.Now())
 		if !allowed {
 			continue
@@ -58,8 +58,8 @@
 func (n *Node) updateTable(state *stateMachine, reported registry.Instance) bool {
 	defer n.logReplaced()
 	now, earliest := steadyclock.Now(), reported
-	if known, exists := n.registry.Get(now, reported.ID); exists && (reported.Since == 0 || known.Since < reported.Since) {
-		earliest.Since = known.Since
+	if known, exists := n.registry.Get(now, reported.ID); exists && (reported.KnownSinceIndex == 0 || known.KnownSinceIndex < reported.KnownSinceIndex) {
+		earliest.KnownSinceIndex = known.KnownSinceIndex
 	}
 	if !state.departureApplies(earliest) {
 		// An instance unknown here may come from another node that has not applied the
@@ -70,7 +70,7 @@
 	reported.State = registry.Leaving
 	changed := n.registry.Report(now, reported)
 	// A report with a lower sequence than the last one does not update the state.
-	return n.registry.Leave(reported.ID) || changed
+	return n.registry.MarkLeaving(reported.ID) || changed
 }
 
 // runSharing sends the servers that reported to this node to the other nodes, and copies the
@@ -172,7 +172,7 @@
 }
 
 // suspectRouters records a router's report that other routers failed to answer it.
-func (n *Node) suspectRouters(report Doubt) {
+func (n *Node) suspectRouters(report SuspectReport) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	report.Routers = lo.Slice(report.Routers, 0, maxSuspectedRouters)
@@ -229,11 +229,11 @@
 		n.markReplacedServers(state, phases)
 		n.mutex.Lock()
 		for _, id := range ids {
-			n.registry.Leave(id)
+			n.registry.MarkLeaving(id)
 		}
 		for _, departure := range names {
-			n.registry.LeaveName(departure)
-			nameIndex = max(nameIndex, departure.Before)
+			n.registry.MarkNameLeaving(departure)
+			nameIndex = max(nameIndex, departure.LogIndex)
 		}
 		n.logReplaced()
 		n.notifyRouters()
--- a/internal/directory/takeover.go
+++ b/internal/directory/takeover.go
@@ -107,7 +107,7 @@
 	if position.Source == n.source {
 		since = position.Revision
 	}
-	reply.Instances = slices.DeleteFunc(n.registry.Since(now, since), func(instance registry.Instance) bool {
+	reply.Instances = slices.DeleteFunc(n.registry.ChangedSince(now, since), func(instance registry.Instance) bool {
 		return instance.State == registry.Missing && !instance.Replaced
 	})
 	reply.Routers = n.routers.activeWithin(now, routerLifetime)
--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -29,11 +29,11 @@
 	returning bool
 }
 
-// Take returns the view after a router received, at a time, the list of evacuated zones.
+// Update returns the view after a router received, at a time, the list of evacuated zones.
 // Services leave and return over a duration, 0 for at once. A zone whose order is reversed
 // during its transition is moved at once, since only this router knows which of its services
 // have moved by then.
-func (v View) Take(now time.Time, zones []string, duration time.Duration) View {
+func (v View) Update(now time.Time, zones []string, duration time.Duration) View {
 	next := make(map[string]transition, len(zones))
 	for zone, known := range v.zones {
 		evacuated := slices.Contains(zones, zone)
@@ -57,8 +57,8 @@
 	return View{zones: next}
 }
 
-// Empty reports whether the servers of a service in a zone get no requests.
-func (v View) Empty(now time.Time, zone, service string) bool {
+// Evacuated reports whether the servers of a service in a zone get no requests.
+func (v View) Evacuated(now time.Time, zone, service string) bool {
 	known, exists := v.zones[zone]
 	if !exists {
 		return false
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -19,7 +19,7 @@
 func countEvacuated(view evacuation.View, now time.Time, zone string) int {
 	count := 0
 	for number := range 200 {
-		if view.Empty(now, zone, fmt.Sprint("service-", number)) {
+		if view.Evacuated(now, zone, fmt.Sprint("service-", number)) {
 			count++
 		}
 	}
@@ -27,7 +27,7 @@
 }
 
 func TestServicesLeaveGradually(t *testing.T) {
-	view := evacuation.View{}.Take(origin, []string{"a"}, duration)
+	view := evacuation.View{}.Update(origin, []string{"a"}, duration)
 	require.InDelta(t, 0, countEvacuated(view, origin, "a"), 3)
 	require.InDelta(t, 100, countEvacuated(view, origin.Add(duration/2), "a"), 30)
 	require.Equal(t, 200, countEvacuated(view, origin.Add(duration), "a"))
@@ -38,10 +38,10 @@
 }
 
 func TestServicesReturnGradually(t *testing.T) {
-	view := evacuation.View{}.Take(origin, []string{"a"}, 0)
+	view := evacuation.View{}.Update(origin, []string{"a"}, 0)
 	require.Equal(t, 200, countEvacuated(view, origin, "a"))
 	ended := origin.Add(time.Minute)
-	view = view.Take(ended, nil, duration)
+	view = view.Update(ended, nil, duration)
 	require.InDelta(t, 200, countEvacuated(view, ended, "a"), 3)
 	require.InDelta(t, 100, countEvacuated(view, ended.Add(duration/2), "a"), 30)
 	require.Zero(t, countEvacuated(view, ended.Add(duration), "a"))
@@ -49,12 +49,12 @@
 }
 
 func TestOrderReversedDuringTransitionAppliesAtOnce(t *testing.T) {
-	view := evacuation.View{}.Take(origin, []string{"a"}, duration)
-	view = view.Take(origin.Add(duration/2), nil, duration)
+	view := evacuation.View{}.Update(origin, []string{"a"}, duration)
+	view = view.Update(origin.Add(duration/2), nil, duration)
 	require.Zero(t, countEvacuated(view, origin.Add(duration/2), "a"))
-	view = view.Take(origin.Add(duration), []string{"a"}, 0)
-	view = view.Take(origin.Add(2*duration), nil, duration)
-	view = view.Take(origin.Add(5*duration/2), []string{"a"}, duration)
+	view = view.Update(origin.Add(duration), []string{"a"}, 0)
+	view = view.Update(origin.Add(2*duration), nil, duration)
+	view = view.Update(origin.Add(5*duration/2), []string{"a"}, duration)
 	require.Equal(t, 200, countEvacuated(view, origin.Add(5*duration/2), "a"))
 }
 
@@ -65,7 +65,7 @@
 		view, now := evacuation.View{}, origin
 		for range rapid.IntRange(1, 12).Draw(t, "orders") {
 			zones := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 0, 3, rapid.ID).Draw(t, "zones")
-			view = view.Take(now, zones, duration)
+			view = view.Update(now, zones, duration)
 			settled := now.Add(duration)
 			for _, zone := range []string{"a", "b", "c"} {
 				want := 0
--- a/internal/exchange/ended_test.go
+++ b/internal/exchange/ended_test.go
@@ -20,8 +20,8 @@
 	listener, err := net.Listen("tcp4", testaddress.Next().String())
 	require.NoError(t, err)
 	server := scatter.Server{ID: "i", Address: listener.Addr().String()}
-	require.False(t, pool.HasEnded(server, false))
-	require.False(t, pool.HasEnded(server, true))
+	require.False(t, pool.HasStopped(server, false))
+	require.False(t, pool.HasStopped(server, true))
 	require.NoError(t, listener.Close())
-	require.True(t, pool.HasEnded(server, false))
+	require.True(t, pool.HasStopped(server, false))
 }
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -40,7 +40,7 @@
 
 // NewPool returns an empty pool.
 func NewPool(codec Codec, registerer prometheus.Registerer) *Pool {
-	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: liveness.Bound(maxUnacknowledged)}
+	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: liveness.LimitUnacknowledged(maxUnacknowledged)}
 	factory := promauto.With(registerer)
 	return &Pool{
 		codec: codec, idle: make(map[string][]*connection),
@@ -134,12 +134,12 @@
 	}
 }
 
-// HasEnded reports whether nothing listens at the address of a server any more: the process
+// HasStopped reports whether nothing listens at the address of a server any more: the process
 // that an attempt was sent to has stopped, and no other has replaced it yet. A server that is
 // unreachable or does not respond does not count as stopped. A successful connection proves
 // that something listens and is kept for the next attempt, unless the server has just refused
 // one.
-func (p *Pool) HasEnded(server scatter.Server, refused bool) bool {
+func (p *Pool) HasStopped(server scatter.Server, refused bool) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	dialed, err := p.dial(ctx, server.Address)
--- a/internal/follower/call_tracker_test.go
+++ b/internal/follower/call_tracker_test.go
@@ -60,7 +60,7 @@
 		require.NoError(t, err)
 		go func() { _ = relayFollower.Run(ctx) }()
 		for begin := time.Now(); time.Since(begin) < 3*lease.DefaultDuration; {
-			relayFollower.Poke()
+			relayFollower.Interrupt()
 			time.Sleep(minInterruptDelay / 10)
 			if time.Since(begin) > time.Second {
 				_, _, until := relayFollower.Lease()
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -181,9 +181,9 @@
 	}).Info("lease state changed")
 }
 
-// Poke interrupts a held call, so that the reports of the Reporter are sent
+// Interrupt interrupts a held call, so that the reports of the Reporter are sent
 // soon with the next one.
-func (f *Follower) Poke() {
+func (f *Follower) Interrupt() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.calls.interrupt()
@@ -231,13 +231,13 @@
 	return f.deregistered
 }
 
-// Leave deregisters the node: it ends the lease and releases it at the
+// Deregister deregisters the node: it ends the lease and releases it at the
 // upstream, so that no server waits for its expiry. The node must have stopped
-// admitting work before it calls Leave.
-func (f *Follower) Leave(ctx context.Context) error {
+// admitting work before it calls Deregister.
+func (f *Follower) Deregister(ctx context.Context) error {
 	f.mutex.Lock()
 	f.deregistered = true
-	f.holder.End()
+	f.holder.Release()
 	upstream := f.upstream
 	f.calls.interrupt()
 	f.mutex.Unlock()
--- a/internal/follower/handler.go
+++ b/internal/follower/handler.go
@@ -216,7 +216,7 @@
 func (h *Handler) deregister(now time.Time, node membership.Node) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.grantor.Leave(now, childID(node), deregisteredRetention)
+	h.grantor.Release(now, childID(node), deregisteredRetention)
 	h.deps.Tables.LapseChild(now, node.Name)
 	delete(h.roles, node.Name)
 	h.routes.Remove(node.Name)
--- a/internal/follower/handler_run.go
+++ b/internal/follower/handler_run.go
@@ -115,10 +115,10 @@
 func (h *Handler) updateProgress(now time.Time) {
 	h.mutex.Lock()
 	h.installLocal()
-	active := h.grantor.InForce(now)
+	active := h.grantor.InEffect(now)
 	risen := active > h.activeRevision
 	h.activeRevision = active
-	h.metrics.children.Set(float64(h.grantor.Live(now)))
+	h.metrics.children.Set(float64(h.grantor.CountLive(now)))
 	h.metrics.activeRevision.Set(float64(active))
 	h.mutex.Unlock()
 	if risen && h.config.OnProgress != nil {
@@ -177,14 +177,14 @@
 	}
 }
 
-// RevisionInForce returns the active revision of the subtree: every node that
+// ActiveRevision returns the active revision of the subtree: every node that
 // admits work does so under this revision or a higher one.
-func (h *Handler) RevisionInForce() uint64 {
+func (h *Handler) ActiveRevision() uint64 {
 	now := steadyclock.Now()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.installLocal()
-	return h.grantor.InForce(now)
+	return h.grantor.InEffect(now)
 }
 
 // installLocal installs a relay's own plan, which came from a confirmed leader.
--- a/internal/follower/root_tables.go
+++ b/internal/follower/root_tables.go
@@ -100,10 +100,10 @@
 
 // SetPlatform replaces the platform's list of machines.
 func (t *RootTables) SetPlatform(now time.Time, list map[string]membership.State) {
-	t.machines.SetPlatform(now, list)
+	t.machines.SetPlatformList(now, list)
 }
 
 // SetOperator records the state that an operator set for a machine.
 func (t *RootTables) SetOperator(now time.Time, address string, state membership.State) {
-	t.machines.SetOperator(now, address, state)
+	t.machines.SetOperatorState(now, address, state)
 }
--- a/internal/forward/keys_test.go
+++ b/internal/forward/keys_test.go
@@ -76,7 +76,7 @@
 	go func() { _ = server.Serve() }()
 	t.Cleanup(func() { _ = server.Close() })
 	entry := netip.MustParseAddrPort(server.Address())
-	cross := func(security *rpc.Security) router.Crossing {
+	cross := func(security *rpc.Security) router.ForwardResult {
 		ctx, cancel := context.WithTimeout(t.Context(), longWait)
 		defer cancel()
 		return NewClient("near", security).Cross(ctx, entry, router.Request{CallerID: "x", Route: "find"})
--- a/internal/forward/offer_test.go
+++ b/internal/forward/offer_test.go
@@ -39,8 +39,8 @@
 	return s.next()
 }
 
-func (s *scriptedCaller) Cross(context.Context, netip.AddrPort, router.Request) router.Crossing {
-	return router.Crossing{Answer: s.next(), Outcome: remote.Broken}
+func (s *scriptedCaller) Cross(context.Context, netip.AddrPort, router.Request) router.ForwardResult {
+	return router.ForwardResult{Answer: s.next(), Outcome: remote.Broken}
 }
 
 func (s *scriptedCaller) Reach(context.Context, netip.AddrPort) error { return context.Canceled }
--- a/internal/forward/region.go
+++ b/internal/forward/region.go
@@ -29,7 +29,7 @@
 )
 
 // Cross implements router.RegionCaller. The context's deadline bounds the call.
-func (c *Client) Cross(ctx context.Context, entry netip.AddrPort, request router.Request) router.Crossing {
+func (c *Client) Cross(ctx context.Context, entry netip.AddrPort, request router.Request) router.ForwardResult {
 	message := requestToWire(c.name, request, steadyclock.Now())
 	message.Crossed, message.IdGenerated = true, request.IDGenerated
 	tracedCtx, cancel, connTrace := traceConnection(ctx)
@@ -39,10 +39,10 @@
 		return failedCrossing(ctx, entry, connTrace, err)
 	}
 	answer := answerFromWire(response.Msg)
-	crossing := router.Crossing{Answer: answer, Outcome: remote.Answered}
+	crossing := router.ForwardResult{Answer: answer, Outcome: remote.Answered}
 	if answer.Err != nil && answer.Verdict == verdict.NotRun &&
 		(answer.Err.Reason == verdict.ReasonStopping || answer.Err.Reason == verdict.ReasonNoLease) {
-		crossing.Outcome = remote.TurnedAway
+		crossing.Outcome = remote.Rejected
 	}
 	return crossing
 }
@@ -55,7 +55,7 @@
 
 // failedCrossing returns the result of a call without an answer. Only a request
 // that never had a connection is known not to have run.
-func failedCrossing(ctx context.Context, entry netip.AddrPort, connTrace *connectionTrace, err error) router.Crossing {
+func failedCrossing(ctx context.Context, entry netip.AddrPort, connTrace *connectionTrace, err error) router.ForwardResult {
 	failure := &verdict.Error{Verdict: verdict.MayHaveRun, Reason: verdict.ReasonConnection,
 		Detail: "entry router " + entry.String() + " did not answer"}
 	outcome := remote.Broken
@@ -73,9 +73,9 @@
 		// The entry router itself reports that the deadline has passed.
 		failure.Reason, outcome = verdict.ReasonTimeout, remote.Answered
 	case connTrace.maybeSent() && errors.Is(ctx.Err(), context.DeadlineExceeded):
-		failure.Reason, outcome = verdict.ReasonTimeout, remote.Silent
+		failure.Reason, outcome = verdict.ReasonTimeout, remote.TimedOut
 	}
-	return router.Crossing{Answer: query.Answer{Verdict: failure.Verdict, Err: failure}, Outcome: outcome}
+	return router.ForwardResult{Answer: query.Answer{Verdict: failure.Verdict, Err: failure}, Outcome: outcome}
 }
 
 // connectionTrace records whether a request ever had a connection, on which it
--- a/internal/forward/region_test.go
+++ b/internal/forward/region_test.go
@@ -41,7 +41,7 @@
 	crossings atomic.Int64
 }
 
-func (c *countingCaller) Cross(ctx context.Context, entry netip.AddrPort, request router.Request) router.Crossing {
+func (c *countingCaller) Cross(ctx context.Context, entry netip.AddrPort, request router.Request) router.ForwardResult {
 	c.crossings.Add(1)
 	return c.RegionCaller.Cross(ctx, entry, request)
 }
@@ -95,7 +95,7 @@
 	near := &callingRegion{events: &recordedEvents{}, calls: &countingCaller{RegionCaller: NewClient("near", rpc.Plaintext())}}
 	near.Router = newRouterWith(t, "near", &fixedSource{plan: installed}, logger,
 		func(config *router.Config, dependencies *router.Dependencies) {
-			config.Regions, config.ReachTimeout = bounds, 200*time.Millisecond
+			config.Regions, config.RegionProbeTimeout = bounds, 200*time.Millisecond
 			dependencies.Regions, dependencies.Events = near.calls, near.events
 		})
 	require.Eventually(t, func() bool { ready, _ := near.Ready(); return ready }, longWait, time.Millisecond)
--- a/internal/gateway/claims.go
+++ b/internal/gateway/claims.go
@@ -125,13 +125,13 @@
 	request.Header["Idempotency-Key"] = []string{}
 	// The token identifies the requesting router, so that its name is not checked.
 	expected := addressee.Identity{Group: c.group()}
-	addressee.Mark(request.Header, expected)
+	addressee.SetHeaders(request.Header, expected)
 	response, err := c.http.Do(request)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
-	if err := addressee.Check(response, expected, false); err != nil {
+	if err := addressee.CheckResponse(response, expected, false); err != nil {
 		return err
 	}
 	if response.StatusCode != http.StatusOK {
--- a/internal/gateway/claims_test.go
+++ b/internal/gateway/claims_test.go
@@ -61,7 +61,7 @@
 	}
 	started.step(scatter.Arrived{
 		ID: 1, Route: d.route, Services: shards, Deadline: started.now.Add(d.route.Timeout), Due: started.now.Add(d.route.Target),
-		Earlier: earlier, Claims: true,
+		PriorAttempts: earlier, ClaimExtras: true,
 	})
 	return started
 }
--- a/internal/gateway/directory_stub_test.go
+++ b/internal/gateway/directory_stub_test.go
@@ -20,10 +20,10 @@
 	reply directory.FollowReply
 	// quarantineTable holds the requests that crash servers. refusesOrders makes all orders
 	// about them fail, refusesReports only reports.
-	quarantineTable quarantine.Book
+	quarantineTable quarantine.Ledger
 	refusesOrders   bool
 	refusesReports  bool
-	orders          []quarantine.Order
+	orders          []quarantine.Command
 	// ledger is the spending of tenants; nil while no leader is reachable. metered are the
 	// tenants that need a token for each request.
 	ledger  *quota.Ledger
@@ -62,7 +62,7 @@
 		return
 	}
 	reply := d.reply
-	reply.Quarantine, reply.QuarantineEntries = d.quarantineTable.Revision, d.quarantineTable.Entries()
+	reply.QuarantineRevision, reply.QuarantineEntries = d.quarantineTable.Revision, d.quarantineTable.Entries()
 	if len(d.metered) > 0 {
 		reply.Metered, reply.MeteredDigest = d.metered, 1
 	}
@@ -85,7 +85,7 @@
 		http.Error(writer, "no leader", http.StatusServiceUnavailable)
 		return
 	}
-	_ = json.NewEncoder(writer).Encode(d.ledger.Take(time.Now(), message))
+	_ = json.NewEncoder(writer).Encode(d.ledger.Process(time.Now(), message))
 }
 
 // serveOrders handles orders about requests that crash servers.
@@ -94,7 +94,7 @@
 	_ = json.NewDecoder(request.Body).Decode(&batch)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	reports := slices.ContainsFunc(batch.Orders, func(o quarantine.Order) bool { return o.Kind == quarantine.Report })
+	reports := slices.ContainsFunc(batch.Orders, func(o quarantine.Command) bool { return o.Kind == quarantine.Report })
 	if d.refusesOrders || d.refusesReports && reports {
 		http.Error(writer, "no leader", http.StatusServiceUnavailable)
 		return
@@ -109,7 +109,7 @@
 }
 
 // applyOrders applies orders of the test itself.
-func (d *directoryStub) applyOrders(orders ...quarantine.Order) {
+func (d *directoryStub) applyOrders(orders ...quarantine.Command) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, order := range orders {
--- a/internal/gateway/evacuating.go
+++ b/internal/gateway/evacuating.go
@@ -24,15 +24,15 @@
 // changed its directory node can't tell how old the order is, and applies it at once.
 func (f *follower) applyEvacuations(reply directory.FollowReply, reconnected bool) {
 	now := steadyclock.Now()
-	newer := reply.Evacuations > f.request.Evacuations
+	newer := reply.EvacuationRevision > f.request.EvacuationRevision
 	if newer {
 		duration := time.Duration(evacuationShare * float64(f.gateway.config.EvacuateWithin))
-		if reconnected || reply.Whole {
+		if reconnected || reply.Complete {
 			duration = 0
 		}
-		f.request.Evacuations = reply.Evacuations
-		f.evacuated = f.evacuated.Take(now, reply.Evacuated, duration)
-		f.logEvacuations(reply.Evacuations, duration)
+		f.request.EvacuationRevision = reply.EvacuationRevision
+		f.evacuated = f.evacuated.Update(now, reply.Evacuated, duration)
+		f.logEvacuations(reply.EvacuationRevision, duration)
 	}
 	if newer || f.evacuating {
 		f.gateway.peers.setEvacuated(f.evacuated)
--- a/internal/gateway/evidence.go
+++ b/internal/gateway/evidence.go
@@ -55,7 +55,7 @@
 		g.observeAnswer(attempt)
 	case scatter.Broken, scatter.Unaccepted:
 		g.logBrokenAttempt(attempt)
-		if g.pool.HasEnded(attempt.server, failure == scatter.Unaccepted) {
+		if g.pool.HasStopped(attempt.server, failure == scatter.Unaccepted) {
 			outcome = trialServerCrashed
 			g.observeCrash(attempt)
 		}
@@ -82,7 +82,7 @@
 func (g *Gateway) observeAnswer(attempt endedAttempt) {
 	evidence := attempt.submitted.evidence
 	if first := !evidence.replied.Swap(true); first && (evidence.reported.Load() || evidence.trial != nil) {
-		g.quarantine.enqueue(quarantine.Order{Kind: quarantine.Clear, Fingerprint: attempt.submitted.request.fingerprint(), By: g.config.Name})
+		g.quarantine.enqueue(quarantine.Command{Kind: quarantine.Clear, Fingerprint: attempt.submitted.request.fingerprint(), By: g.config.Name})
 	}
 }
 
@@ -104,7 +104,7 @@
 		return
 	}
 	evidence.reported.Store(true)
-	g.quarantine.report(quarantine.Order{
+	g.quarantine.report(quarantine.Command{
 		Kind: quarantine.Report, Fingerprint: fingerprint, Servers: []string{attempt.server.ID}, Tried: evidence.trial != nil,
 		Route: evidence.route, Caller: evidence.caller, By: g.config.Name,
 	})
--- a/internal/gateway/failed_routers.go
+++ b/internal/gateway/failed_routers.go
@@ -27,13 +27,13 @@
 		case <-ctx.Done():
 			return
 		case first := <-f.gateway.suspects:
-			report := directory.Doubt{By: f.gateway.config.Name, Routers: f.batchSuspects(ctx, first)}
+			report := directory.SuspectReport{By: f.gateway.config.Name, Routers: f.batchSuspects(ctx, first)}
 			node := f.followedNode.Load()
 			if node == nil || *node == "" {
 				f.gateway.logger.WithField("routers", len(report.Routers)).Info("doubts_not_told")
 				continue
 			}
-			if err := f.call(ctx, *node+directory.PathDoubt, report, suspectReportTimeout, nil); err != nil {
+			if err := f.call(ctx, *node+directory.PathSuspect, report, suspectReportTimeout, nil); err != nil {
 				f.gateway.logger.WithField("routers", len(report.Routers)).WithField("reason", err).Info("doubts_not_told")
 			}
 		}
--- a/internal/gateway/following.go
+++ b/internal/gateway/following.go
@@ -69,7 +69,7 @@
 }
 
 func newFollower(gateway *Gateway) *follower {
-	dialer := &net.Dialer{Timeout: searchTimeout, KeepAlive: -1, Control: liveness.Bound(peerAckTimeout)}
+	dialer := &net.Dialer{Timeout: searchTimeout, KeepAlive: -1, Control: liveness.LimitUnacknowledged(peerAckTimeout)}
 	return &follower{
 		gateway: gateway,
 		client:  &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext}},
@@ -186,13 +186,13 @@
 		return err
 	}
 	expected := addressee.Identity{Group: f.gateway.group()}
-	addressee.Mark(request.Header, expected)
+	addressee.SetHeaders(request.Header, expected)
 	response, err := f.client.Do(request)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
-	if err := addressee.Check(response, expected, false); err != nil {
+	if err := addressee.CheckResponse(response, expected, false); err != nil {
 		f.gateway.recordMisdirectedAnswer(err)
 		return errors.Wrap(err, target)
 	}
@@ -234,7 +234,7 @@
 		f.nodes = reply.Nodes
 	}
 	f.applyRouters(reply)
-	f.request.Routers, f.request.Absent = reply.RoutersDigest, reply.AbsentDigest
+	f.request.RoutersDigest, f.request.AbsentDigest = reply.RoutersDigest, reply.AbsentDigest
 	f.request.Source, f.request.Revision, f.request.Departures = reply.Source, reply.Revision, reply.Departures
 }
 
@@ -242,15 +242,15 @@
 // absent, and recounts the gatherers of shards.
 func (f *follower) applyRouters(reply directory.FollowReply) {
 	gateway := f.gateway
-	if reply.RoutersDigest != f.request.Routers {
+	if reply.RoutersDigest != f.request.RoutersDigest {
 		gateway.peers.setRouters(reply.Routers)
 		gateway.logger.WithField("routers", len(reply.Routers)).Info("routers_changed")
 	}
-	if reply.AbsentDigest != f.request.Absent {
+	if reply.AbsentDigest != f.request.AbsentDigest {
 		gateway.peers.setAbsent(reply.Absent)
 		gateway.logger.WithField("absent", len(reply.Absent)).Info("absent_routers_changed")
 	}
-	gateway.loop.events <- scatter.RoutersCounted{Count: reply.RouterCount, Rank: gateway.peers.rank()}
+	gateway.loop.events <- scatter.RoutersChanged{Count: reply.RouterCount, Rank: gateway.peers.rank()}
 	gateway.peers.setCalls(reply.Calls)
 	if reply.RouterCount != f.routerCount {
 		f.routerCount = reply.RouterCount
@@ -262,7 +262,7 @@
 		return
 	}
 	if counted, changed := gateway.peers.countGatherers(table.ShardLists(), reply.RouterCount); changed {
-		gateway.loop.events <- scatter.GatherersCounted{Gatherers: counted}
+		gateway.loop.events <- scatter.GatherersChanged{Gatherers: counted}
 		gateway.logGatherers(reply.Calls, counted)
 	}
 }
@@ -275,14 +275,14 @@
 	now := steadyclock.Now()
 	for _, instance := range reply.Instances {
 		listed[instance.ID] = true
-		if f.departed.Hold(instance) {
+		if f.departed.Includes(instance) {
 			continue
 		}
 		f.servers[instance.ID] = instance
 		changed = append(changed, toServer(now, instance))
 		instances = append(instances, instance)
 	}
-	if reply.Whole && reply.Settled {
+	if reply.Complete && reply.Settled {
 		removed = append(removed, lo.Reject(lo.Keys(f.servers), func(id string, _ int) bool { return listed[id] })...)
 	}
 	for _, id := range removed {
@@ -293,7 +293,7 @@
 		f.gateway.loop.events <- scatter.ServersChanged{Servers: changed}
 	}
 	if len(removed) > 0 {
-		f.gateway.loop.events <- scatter.ServersGone{IDs: removed}
+		f.gateway.loop.events <- scatter.ServersRemoved{IDs: removed}
 	}
 }
 
@@ -304,13 +304,13 @@
 	}
 	for _, departure := range reply.DepartedNames {
 		f.departed.AddName(departure)
-		f.request.DepartedNames = max(f.request.DepartedNames, departure.Before)
+		f.request.DepartedNames = max(f.request.DepartedNames, departure.LogIndex)
 	}
 	if len(reply.Departed)+len(reply.DepartedNames) == 0 {
 		return nil
 	}
 	for id, known := range f.servers {
-		if f.departed.Hold(known) {
+		if f.departed.Includes(known) {
 			removed = append(removed, id)
 		}
 	}
@@ -320,7 +320,7 @@
 func toServer(now time.Time, instance registry.Instance) scatter.Server {
 	return scatter.Server{
 		ID: instance.ID, Name: registry.NameOf(instance.ID), Service: instance.Service, Address: instance.Address, Zone: instance.Zone, Version: instance.Version, Slots: instance.Slots,
-		Leaving: instance.State == registry.Leaving, Missing: instance.State == registry.Missing, Replaced: instance.Replaced,
+		Draining: instance.State == registry.Leaving, Missing: instance.State == registry.Missing, Replaced: instance.Replaced,
 		WarmAt: now.Add(instance.WarmLeft),
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -197,7 +197,7 @@
 	var calls atomic.Int64
 	node := serve(t, http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		calls.Add(1)
-		_ = json.NewEncoder(writer).Encode(directory.FollowReply{Source: "stub", Whole: true, RouterCount: 1})
+		_ = json.NewEncoder(writer).Encode(directory.FollowReply{Source: "stub", Complete: true, RouterCount: 1})
 	}))
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
--- a/internal/gateway/gather.go
+++ b/internal/gateway/gather.go
@@ -55,7 +55,7 @@
 	state := &gatherState{
 		exchangeState: s, message: forwarded, context: ctx, cancel: cancel,
 		collection: slicing.Collection{
-			Total: len(s.route.Shards), Least: s.route.LeastShare, Deadline: arrived.Deadline, Cut: arrived.Due,
+			Total: len(s.route.Shards), MinCoverage: s.route.LeastShare, Deadline: arrived.Deadline, Cutoff: arrived.Due,
 		},
 		events: make(chan *gatherEvent, eventsPerShard*len(s.route.Shards)+16),
 	}
@@ -161,7 +161,7 @@
 func (g *gatherState) markLost(state *sliceState, position int) {
 	if state.open[position] {
 		delete(state.open, position)
-		g.collection.Out++
+		g.collection.Failed++
 	}
 }
 
@@ -184,12 +184,12 @@
 }
 
 func (g *gatherState) answer() {
-	missing := g.collection.Total - g.collection.In
+	missing := g.collection.Total - g.collection.Received
 	header := g.writer.Header()
 	g.gateway.config.Dialect.Gathered(header, g.stamps, missing)
 	header.Set("Content-Type", "application/octet-stream")
 	g.write(http.StatusOK, greatestRecords(g.records, g.route.TopRecords))
-	if late := steadyclock.Since(g.collection.Cut); late > 0 && g.collection.DueAtCut() {
+	if late := steadyclock.Since(g.collection.Cutoff); late > 0 && g.collection.DueAtCutoff() {
 		g.gateway.answerLag.observe(late)
 	}
 	g.gathered = g.summarize()
@@ -221,9 +221,9 @@
 }
 
 func (g *gatherState) summarize() gatherSummary {
-	summary := gatherSummary{shards: g.collection.Total, missing: g.collection.Total - g.collection.In, slices: len(g.slices), fallbacks: g.fallbacks}
-	if !g.collection.Cut.IsZero() {
-		summary.cut = g.collection.Cut.Sub(g.arrived)
+	summary := gatherSummary{shards: g.collection.Total, missing: g.collection.Total - g.collection.Received, slices: len(g.slices), fallbacks: g.fallbacks}
+	if !g.collection.Cutoff.IsZero() {
+		summary.cut = g.collection.Cutoff.Sub(g.arrived)
 	}
 	return summary
 }
--- a/internal/gateway/gather_slices.go
+++ b/internal/gateway/gather_slices.go
@@ -56,7 +56,7 @@
 	state.token = g.gateway.claims.open()
 	request := g.sliceRequest(slice, from)
 	request.Claims = claimTarget{Address: g.gateway.config.PeerAddress, Token: state.token}
-	if !g.collection.Cut.IsZero() {
+	if !g.collection.Cutoff.IsZero() {
 		state.due = steadyclock.Now().Add(request.CutLeft)
 	}
 	go func() {
@@ -77,8 +77,8 @@
 		Priority: g.route.Priority, TopRecords: g.route.TopRecords, LeastShare: g.route.LeastShare, Target: g.route.Target,
 		DeadlineLeft: g.collection.Deadline.Sub(now), Earlier: from.earlier, Tried: g.tried, Caller: g.caller(),
 	}
-	if !g.collection.Cut.IsZero() {
-		request.CutLeft = max(0, g.collection.Cut.Sub(now)-g.gateway.sliceLag.margin(firstSliceMargin))
+	if !g.collection.Cutoff.IsZero() {
+		request.CutLeft = max(0, g.collection.Cutoff.Sub(now)-g.gateway.sliceLag.margin(firstSliceMargin))
 	}
 	return request
 }
@@ -100,7 +100,7 @@
 func (g *gatherState) gatherLocally(index int) {
 	state := g.slices[index]
 	gather := g.gateway.submitShards(localSlice{
-		request: g.message, evidence: g.evidence(), route: g.route, shards: state.Shards, deadline: g.collection.Deadline, due: g.collection.Cut,
+		request: g.message, evidence: g.evidence(), route: g.route, shards: state.Shards, deadline: g.collection.Deadline, due: g.collection.Cutoff,
 		earlier: state.origin.earlier, events: g.events, slice: index,
 	})
 	state.local = &gather
@@ -145,7 +145,7 @@
 func (g *gatherState) reassign(shards []string, from origin) {
 	switch {
 	case from.earlier >= max(1, g.route.MaxAttempts):
-		g.collection.Out += len(shards)
+		g.collection.Failed += len(shards)
 	case from.failedRouters > maxBackupRouters:
 		g.startSlice(slicing.Slice{Shards: shards}, from)
 	default:
--- a/internal/gateway/group_test.go
+++ b/internal/gateway/group_test.go
@@ -37,7 +37,7 @@
 // shards s and t as well.
 func startForeignRouter(t *testing.T, name string, group addressee.Group, peers net.Listener) *site {
 	stub := &directoryStub{}
-	stub.reply.Source, stub.reply.Whole, stub.reply.Group = "other stub", true, group
+	stub.reply.Source, stub.reply.Complete, stub.reply.Group = "other stub", true, group
 	foreign := partOf("FOREIGN-RECORD-1")
 	foreignRouter := startRouter(t, name, "b", peers, stub, stub, map[string]http.HandlerFunc{"s": foreign, "t": foreign})
 	foreignRouter.install(gatherRoute(1))
@@ -93,7 +93,7 @@
 			startForeignRouter(t, "router", 2, peers)
 			call, err := http.NewRequest(http.MethodPost, "http://"+peers.Addr().String()+"/router/slice", strings.NewReader("no slice"))
 			require.NoError(t, err)
-			addressee.Mark(call.Header, sample.expected)
+			addressee.SetHeaders(call.Header, sample.expected)
 			response, err := http.DefaultClient.Do(call)
 			require.NoError(t, err)
 			require.NoError(t, response.Body.Close())
@@ -118,7 +118,7 @@
 func TestRouterDoesNotFollowANodeOfAnotherGroup(t *testing.T) {
 	peers, address := listenLocal(t), testaddress.Next().String()
 	own := &directoryStub{}
-	own.reply.Source, own.reply.Whole, own.reply.Group, own.reply.Nodes = "own", true, 1, []string{address}
+	own.reply.Source, own.reply.Complete, own.reply.Group, own.reply.Nodes = "own", true, 1, []string{address}
 	node := &http.Server{Handler: own}
 	listener := listenAgain(t, address)
 	go func() { _ = node.Serve(listener) }()
@@ -129,7 +129,7 @@
 	require.NoError(t, node.Close())
 
 	foreign := &directoryStub{}
-	foreign.reply.Source, foreign.reply.Whole, foreign.reply.Group, foreign.reply.Nodes = "foreign", true, 2, []string{address}
+	foreign.reply.Source, foreign.reply.Complete, foreign.reply.Group, foreign.reply.Nodes = "foreign", true, 2, []string{address}
 	other := &http.Server{Handler: foreign}
 	listener = listenAgain(t, address)
 	go func() { _ = other.Serve(listener) }()
--- a/internal/gateway/isolating.go
+++ b/internal/gateway/isolating.go
@@ -101,8 +101,8 @@
 		case <-ctx.Done():
 			return
 		case fromPeer := <-i.probeRequests:
-			detector.Heard(i.gateway.started.Add(time.Duration(i.lastContact.Load())))
-			if fromPeer || detector.Suspects(steadyclock.Now()) {
+			detector.ObserveContact(i.gateway.started.Add(time.Duration(i.lastContact.Load())))
+			if fromPeer || detector.ShouldProbe(steadyclock.Now()) {
 				i.probe(ctx, &detector, fromPeer)
 			}
 		}
@@ -113,7 +113,7 @@
 func (i *isolationMonitor) probe(ctx context.Context, detector *isolation.Detector, fromPeer bool) {
 	for first := true; ctx.Err() == nil; first = false {
 		round := i.probeRound(ctx)
-		finding := detector.Take(round)
+		finding := detector.ObserveRound(round)
 		i.setIsolated(finding == isolation.Isolated, round)
 		if finding == isolation.Connected {
 			return
@@ -141,7 +141,7 @@
 	} else {
 		i.gateway.metrics.isolated.Set(0)
 	}
-	i.gateway.logger.WithFields(logrus.Fields{"isolated": isolated, "own": round.Own, "others": round.Others}).Warn("isolation_changed")
+	i.gateway.logger.WithFields(logrus.Fields{"isolated": isolated, "own": round.OwnZone, "others": round.OtherZones}).Warn("isolation_changed")
 }
 
 // probeRound probes some routers in parallel. A router that refuses the connection counts as
@@ -167,8 +167,8 @@
 			})
 		}
 	}
-	each(own, &round.Own)
-	each(others, &round.Others)
+	each(own, &round.OwnZone)
+	each(others, &round.OtherZones)
 	probes.Wait()
 	return round
 }
@@ -184,7 +184,7 @@
 			if err != nil {
 				return
 			}
-			addressee.Mark(request.Header, addressee.Identity{Group: i.gateway.group(), Name: router.Name})
+			addressee.SetHeaders(request.Header, addressee.Identity{Group: i.gateway.group(), Name: router.Name})
 			response, err := i.gateway.slices.http.Do(request)
 			if err != nil {
 				i.gateway.logger.WithField("router", router.Name).WithField("reason", err).Debug("probe_not_told")
@@ -203,7 +203,7 @@
 
 // zoneSuffices reports whether the servers of the own zone suffice for a route.
 func (g *Gateway) zoneSuffices(shards []string, least float64) bool {
-	return slicing.Suffices(g.peers.servedInZone(shards), len(shards), least)
+	return slicing.MeetsCoverage(g.peers.servedInZone(shards), len(shards), least)
 }
 
 // refuseIsolated refuses at once a request that needs servers of other zones while this router
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -25,7 +25,7 @@
 	lastID   scatter.RequestID
 	timer    *time.Timer
 	// stateChanges are the changes of server states in the current step.
-	stateChanges []scatter.Noted
+	stateChanges []scatter.LogServer
 	// pendingClaims are the claims of the current step; claim sends one of them.
 	pendingClaims map[scatter.RequestID][]int
 	claim         func(claimTarget, []int) error
@@ -33,7 +33,7 @@
 	observe func(endedAttempt)
 	// observeRollout records how attempts at services with a rollout ended. countRequests
 	// requests the number of attempts in flight.
-	observeRollout func(scatter.Observed)
+	observeRollout func(scatter.RolloutOutcome)
 	countRequests  chan countRequest
 	// withdrawn receives requests that have become quarantined.
 	withdrawn chan []quarantine.Fingerprint
@@ -71,7 +71,7 @@
 type loopCallbacks struct {
 	claim   func(claimTarget, []int) error
 	observe func(endedAttempt)
-	rollout func(scatter.Observed)
+	rollout func(scatter.RolloutOutcome)
 }
 
 func newLoop(engine *scatter.Engine, pool *exchange.Pool, callbacks loopCallbacks, logger logrus.FieldLogger) *loop {
@@ -128,7 +128,7 @@
 			l.retired.ended(running.ServerID())
 			delete(l.attempts, event.Attempt)
 		}
-	case scatter.ServersGone:
+	case scatter.ServersRemoved:
 		for _, id := range event.IDs {
 			l.retired.retire(id)
 		}
@@ -179,9 +179,9 @@
 		}
 	case scatter.Wake:
 		l.timer.Reset(steadyclock.Until(command.At))
-	case scatter.Observed:
+	case scatter.RolloutOutcome:
 		l.observeRollout(command)
-	case scatter.Noted:
+	case scatter.LogServer:
 		l.stateChanges = append(l.stateChanges, command)
 	}
 }
--- a/internal/gateway/one_way_test.go
+++ b/internal/gateway/one_way_test.go
@@ -87,7 +87,7 @@
 		}))
 		stub.addServer("i-t"+number, "t", "b", address)
 	}
-	stub.reply.Source, stub.reply.Whole, stub.reply.RoutersDigest = "stub", true, 1
+	stub.reply.Source, stub.reply.Complete, stub.reply.RoutersDigest = "stub", true, 1
 	document := oneRoute(1, "t")
 	document.Routes[0].Targets, document.Routes[0].Shards = nil, []string{"t"}
 	document.Routes[0].Target, document.Routes[0].TopRecords, document.Routes[0].LeastShare = 100*time.Millisecond, 1, 1
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -192,7 +192,7 @@
 	if len(p.layouts) == 0 {
 		p.layoutsUntil = until
 	}
-	built := slicing.NewLayout(p.self, shards, slicing.Site{
+	built := slicing.NewLayout(p.self, shards, slicing.Inputs{
 		Zones: func(shard string) []string { return p.zones[shard] }, Routers: routers, Calls: p.calls,
 	})
 	p.layouts[&shards[0]] = built
@@ -205,12 +205,12 @@
 	var until time.Time
 	routers := slices.Clone(p.routers)
 	for index, router := range routers {
-		routers[index].Absent = p.absent[router.Name] || p.isolated && router.Zone != p.self.Zone
+		routers[index].Unavailable = p.absent[router.Name] || p.isolated && router.Zone != p.self.Zone
 		ends, suspected := p.suspected[router.Name]
 		if !suspected || now.After(ends) {
 			continue
 		}
-		routers[index].Absent = true
+		routers[index].Unavailable = true
 		if until.IsZero() || ends.Before(until) {
 			until = ends
 		}
@@ -227,7 +227,7 @@
 	p.zones = make(map[string][]string)
 	now := steadyclock.Now()
 	for _, at := range p.places {
-		if p.evacuated.Empty(now, at.zone, at.service) {
+		if p.evacuated.Evacuated(now, at.zone, at.service) {
 			continue
 		}
 		if !slices.Contains(p.zones[at.service], at.zone) {
--- a/internal/gateway/quarantining.go
+++ b/internal/gateway/quarantining.go
@@ -37,7 +37,7 @@
 type quarantineMonitor struct {
 	logger  logrus.FieldLogger
 	metrics *metrics
-	orders  chan quarantine.Order
+	orders  chan quarantine.Command
 
 	mutex sync.Mutex
 	view  quarantine.View
@@ -46,12 +46,12 @@
 }
 
 func newQuarantineMonitor(logger logrus.FieldLogger, metrics *metrics) *quarantineMonitor {
-	return &quarantineMonitor{logger: logger, metrics: metrics, orders: make(chan quarantine.Order, orderBacklog), trials: make(map[quarantine.Fingerprint]bool)}
+	return &quarantineMonitor{logger: logger, metrics: metrics, orders: make(chan quarantine.Command, orderBacklog), trials: make(map[quarantine.Fingerprint]bool)}
 }
 
 // standing returns how a request is to be treated. It costs nothing while no request is on
 // record, since the digest of a body of 8 MiB takes 6 ms.
-func (m *quarantineMonitor) standing(request *fingerprinted) quarantine.Standing {
+func (m *quarantineMonitor) standing(request *fingerprinted) quarantine.Status {
 	m.mutex.Lock()
 	empty := m.view.Empty()
 	m.mutex.Unlock()
@@ -61,7 +61,7 @@
 	fingerprint := request.fingerprint()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.view.Standing(fingerprint)
+	return m.view.Status(fingerprint)
 }
 
 // beginTrial reports whether this router may start a trial of a request; it runs one at a time
@@ -113,7 +113,7 @@
 func (m *quarantineMonitor) update(revision uint64, entries []quarantine.Entry) []quarantine.Fingerprint {
 	m.mutex.Lock()
 	before := m.view.Revision()
-	quarantined := m.view.Take(revision, entries)
+	quarantined := m.view.Update(revision, entries)
 	changed := m.view.Revision() != before
 	suspectedCount, quarantinedCount := m.view.Counts()
 	m.mutex.Unlock()
@@ -130,7 +130,7 @@
 }
 
 // report queues a report that a server crashed while it ran a request.
-func (m *quarantineMonitor) report(order quarantine.Order) {
+func (m *quarantineMonitor) report(order quarantine.Command) {
 	m.mutex.Lock()
 	m.view.Reported(order.Fingerprint, order.Tried)
 	m.mutex.Unlock()
@@ -138,7 +138,7 @@
 }
 
 // enqueue queues an order for sending. It never blocks.
-func (m *quarantineMonitor) enqueue(order quarantine.Order) {
+func (m *quarantineMonitor) enqueue(order quarantine.Command) {
 	select {
 	case m.orders <- order:
 	default:
@@ -149,7 +149,7 @@
 
 // acknowledge records that the quarantine table of a revision contains an order; 0 for an
 // order that was dropped.
-func (m *quarantineMonitor) acknowledge(order quarantine.Order, revision uint64) {
+func (m *quarantineMonitor) acknowledge(order quarantine.Command, revision uint64) {
 	if order.Kind != quarantine.Report {
 		return
 	}
@@ -159,8 +159,8 @@
 }
 
 // nextBatch waits for an order and returns it with those that follow within orderBatchDelay.
-func (m *quarantineMonitor) nextBatch(ctx context.Context) []quarantine.Order {
-	var batch []quarantine.Order
+func (m *quarantineMonitor) nextBatch(ctx context.Context) []quarantine.Command {
+	var batch []quarantine.Command
 	select {
 	case <-ctx.Done():
 		return nil
@@ -204,7 +204,7 @@
 }
 
 // postOrders posts orders to the followed node or, if that fails, to the other ones.
-func (f *follower) postOrders(ctx context.Context, orders []quarantine.Order) (reply directory.QuarantineReply, err error) {
+func (f *follower) postOrders(ctx context.Context, orders []quarantine.Command) (reply directory.QuarantineReply, err error) {
 	err = errNoNode
 	for _, node := range f.nodesInOrder() {
 		err = f.call(ctx, node+directory.PathQuarantine, directory.QuarantineOrders{Orders: orders}, orderTimeout, &reply)
@@ -237,8 +237,8 @@
 // applyQuarantine applies a reply's quarantine entries and withdraws the requests that have
 // become quarantined.
 func (f *follower) applyQuarantine(reply directory.FollowReply) {
-	quarantined := f.gateway.quarantine.update(reply.Quarantine, reply.QuarantineEntries)
-	f.request.Quarantine = f.gateway.quarantine.revision()
+	quarantined := f.gateway.quarantine.update(reply.QuarantineRevision, reply.QuarantineEntries)
+	f.request.QuarantineRevision = f.gateway.quarantine.revision()
 	if len(quarantined) > 0 {
 		f.gateway.loop.withdrawn <- quarantined
 	}
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -90,7 +90,7 @@
 // disconnect records that no directory node is reachable.
 func (l *quotaLimiter) disconnect() {
 	l.mutex.Lock()
-	l.gate.Lose()
+	l.gate.SetIsolated()
 	l.mutex.Unlock()
 	l.signal()
 }
@@ -106,7 +106,7 @@
 // a token is needed, it waits for one until the context ends.
 func (l *quotaLimiter) admit(ctx context.Context, tenant string) tokenAnswer {
 	decision, after := l.decide(tenant)
-	if decision != quota.Ask {
+	if decision != quota.RequestToken {
 		return tokenAnswer{granted: decision == quota.Pass, after: after}
 	}
 	answer := make(chan tokenAnswer, 1)
@@ -143,7 +143,7 @@
 func (l *quotaLimiter) leaderUnreachable() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.gate.Alone()
+	return l.gate.Isolated()
 }
 
 // next waits until there is something to report and returns it. While no leader is reachable
@@ -166,7 +166,7 @@
 	round.message.Wanted = lo.CountValuesBy(round.requests, func(queued tokenRequest) string { return queued.tenant })
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	round.message.Spent = l.gate.TakeSpent()
+	round.message.Spent = l.gate.TakeUnreported()
 	return round, true
 }
 
@@ -200,7 +200,7 @@
 // complete distributes the tokens granted in a round.
 func (l *quotaLimiter) complete(round quotaRound, reply quota.Reply) {
 	l.mutex.Lock()
-	l.gate.Reached(steadyclock.Now(), round.message.Spent, reply)
+	l.gate.ReportSucceeded(steadyclock.Now(), round.message.Spent, reply)
 	l.mutex.Unlock()
 	remaining := lo.MapValues(reply.Grants, func(given quota.Grant, _ string) int { return given.Granted })
 	for _, queued := range round.requests {
@@ -217,7 +217,7 @@
 // this router's share of the limit.
 func (l *quotaLimiter) fail(round quotaRound) {
 	l.mutex.Lock()
-	l.gate.Return(round.message.Spent)
+	l.gate.ReportFailed(round.message.Spent)
 	l.mutex.Unlock()
 	for _, queued := range round.requests {
 		decision, after := l.decide(queued.tenant)
@@ -260,10 +260,10 @@
 
 // applyMetered updates which tenants need a token for each request.
 func (f *follower) applyMetered(reply directory.FollowReply) {
-	if reply.MeteredDigest == f.request.Metered {
+	if reply.MeteredDigest == f.request.MeteredDigest {
 		return
 	}
-	f.request.Metered = reply.MeteredDigest
+	f.request.MeteredDigest = reply.MeteredDigest
 	f.gateway.quotas.setMetered(reply.Metered)
 	f.gateway.metrics.metered.Set(float64(len(reply.Metered)))
 	f.gateway.logger.WithField("tenants", len(reply.Metered)).
--- a/internal/gateway/request_log.go
+++ b/internal/gateway/request_log.go
@@ -82,20 +82,20 @@
 	if len(l.stateChanges) == 0 {
 		return
 	}
-	for event, changes := range lo.GroupBy(l.stateChanges, func(noted scatter.Noted) string { return noted.Belief }) {
+	for event, changes := range lo.GroupBy(l.stateChanges, func(noted scatter.LogServer) string { return noted.Event }) {
 		if len(changes) > maxLoggedItems {
-			some := lo.Map(changes[:maxLoggedItems], func(noted scatter.Noted, _ int) string { return noted.Server.ID })
+			some := lo.Map(changes[:maxLoggedItems], func(noted scatter.LogServer, _ int) string { return noted.Server.ID })
 			l.logger.WithFields(logrus.Fields{
 				"servers": len(changes), "some": strings.Join(some, " "),
-				"leaving": lo.CountBy(changes, func(noted scatter.Noted) bool { return noted.Server.Leaving }),
-				"missing": lo.CountBy(changes, func(noted scatter.Noted) bool { return noted.Server.Missing }),
+				"leaving": lo.CountBy(changes, func(noted scatter.LogServer) bool { return noted.Server.Draining }),
+				"missing": lo.CountBy(changes, func(noted scatter.LogServer) bool { return noted.Server.Missing }),
 			}).Info(event)
 			continue
 		}
 		for _, noted := range changes {
 			l.logger.WithFields(logrus.Fields{
 				"server": noted.Server.ID, "service": noted.Server.Service, "address": noted.Server.Address,
-				"detail": noted.Detail, "leaving": noted.Server.Leaving, "missing": noted.Server.Missing, "replaced": noted.Server.Replaced,
+				"detail": noted.Detail, "leaving": noted.Server.Draining, "missing": noted.Server.Missing, "replaced": noted.Server.Replaced,
 			}).Info(event)
 		}
 	}
@@ -108,22 +108,22 @@
 // logOverdueParts logs, in one line, which parts of a request have not arrived when they are
 // due, and why.
 func (l *loop) logOverdueParts(submitted submission, result scatter.Result) {
-	causes := make([]string, 0, len(result.Lacking))
-	for _, lack := range result.Lacking {
+	causes := make([]string, 0, len(result.MissingParts))
+	for _, lack := range result.MissingParts {
 		causes = append(causes, lack.Service+":"+lack.Cause.String()+":"+lack.Server)
 	}
 	l.logger.WithFields(logrus.Fields{
-		"request": submitted.request.ID, "route": submitted.arrived.Route.Name, "lacking": result.Lacked,
+		"request": submitted.request.ID, "route": submitted.arrived.Route.Name, "lacking": result.MissingCount,
 		"parts": strings.Join(causes, " "),
 	}).Info("parts_overdue")
 }
 
 // logMissingParts logs the attempts made for each service or shard that returned nothing.
 func (l *loop) logMissingParts(request string, result scatter.Result) {
-	for _, lack := range result.Lacking[:min(maxMissingPartLines, len(result.Lacking))] {
+	for _, lack := range result.MissingParts[:min(maxMissingPartLines, len(result.MissingParts))] {
 		l.logger.WithFields(logrus.Fields{
 			"request": request, "service": lack.Service, "server": lack.Server, "failure": lack.Failure.String(),
-			"cause": lack.Cause.String(), "open": lack.Open, "steps": stepsText(lack.Steps),
+			"cause": lack.Cause.String(), "open": lack.InFlight, "steps": stepsText(lack.Steps),
 		}).Info("part_missing")
 	}
 }
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -26,28 +26,28 @@
 type rolloutMonitor struct {
 	mutex    sync.Mutex
 	revision uint64
-	rollouts map[string]directory.RolloutTold
+	rollouts map[string]directory.RolloutRule
 	evidence map[string]rollout.Evidence
 }
 
 func newRolloutMonitor() *rolloutMonitor {
-	return &rolloutMonitor{rollouts: make(map[string]directory.RolloutTold), evidence: make(map[string]rollout.Evidence)}
+	return &rolloutMonitor{rollouts: make(map[string]directory.RolloutRule), evidence: make(map[string]rollout.Evidence)}
 }
 
 // update applies the state of all rollouts, and returns the rules for routing to their
 // services.
-func (m *rolloutMonitor) update(revision uint64, published map[string]directory.RolloutTold) map[string]rollout.Rule {
+func (m *rolloutMonitor) update(revision uint64, published map[string]directory.RolloutRule) map[string]rollout.Rule {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	maps.DeleteFunc(m.evidence, func(service string, _ rollout.Evidence) bool {
 		return published[service].Number != m.rollouts[service].Number || !published[service].Phase.Running()
 	})
 	m.revision, m.rollouts = revision, published
-	return lo.MapValues(published, func(of directory.RolloutTold, _ string) rollout.Rule { return of.Rule })
+	return lo.MapValues(published, func(of directory.RolloutRule, _ string) rollout.Rule { return of.Rule })
 }
 
 // observe records how an attempt ended.
-func (m *rolloutMonitor) observe(observed scatter.Observed) {
+func (m *rolloutMonitor) observe(observed scatter.RolloutOutcome) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if !m.rollouts[observed.Service].Phase.Running() {
@@ -56,7 +56,7 @@
 	if m.evidence[observed.Service] == nil {
 		m.evidence[observed.Service] = rollout.Evidence{}
 	}
-	m.evidence[observed.Service].Observe(observed.Route, observed.New, observed.Bad, observed.Took)
+	m.evidence[observed.Service].Observe(observed.Route, observed.New, observed.Failed, observed.Duration)
 }
 
 // running returns the target versions of the running rollouts, by service.
@@ -80,7 +80,7 @@
 	for service, count := range old {
 		sums := rollout.Evidence{}
 		sums.Add(m.evidence[service])
-		report.Services[service] = directory.ServiceReport{Number: m.rollouts[service].Number, Evidence: sums, Old: count}
+		report.Services[service] = directory.ServiceReport{Number: m.rollouts[service].Number, Evidence: sums, OldInFlight: count}
 	}
 	return report
 }
@@ -111,10 +111,10 @@
 
 // applyRollouts applies which servers may be called of services with a rollout.
 func (f *follower) applyRollouts(reply directory.FollowReply) {
-	if reply.RolloutRevision <= f.request.Rollouts {
+	if reply.RolloutRevision <= f.request.RolloutRevision {
 		return
 	}
-	f.request.Rollouts = reply.RolloutRevision
+	f.request.RolloutRevision = reply.RolloutRevision
 	rules := f.gateway.rollouts.update(reply.RolloutRevision, reply.Rollouts)
 	f.gateway.loop.events <- scatter.RolloutsChanged{Rules: rules}
 	for service, rule := range rules {
@@ -151,6 +151,6 @@
 
 func (l *loop) count(request countRequest) {
 	request.counts <- lo.MapValues(request.targets, func(target, service string) int {
-		return l.engine.InFlightBeside(service, target)
+		return l.engine.InFlightExcept(service, target)
 	})
 }
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -19,7 +19,7 @@
 	s.directory.mutex.Lock()
 	s.directory.reply.RolloutRevision++
 	revision := s.directory.reply.RolloutRevision
-	s.directory.reply.Rollouts = map[string]directory.RolloutTold{"s": {Rule: rule, Number: 1}}
+	s.directory.reply.Rollouts = map[string]directory.RolloutRule{"s": {Rule: rule, Number: 1}}
 	s.directory.mutex.Unlock()
 	require.Eventually(s.t, func() bool {
 		for _, entry := range s.logged.AllEntries() {
@@ -80,7 +80,7 @@
 		s.directory.mutex.Lock()
 		defer s.directory.mutex.Unlock()
 		report := s.directory.observed.Services["s"]
-		total := report.Evidence.Whole()
+		total := report.Evidence.Total()
 		return report.Number == 1 && total.Old.Answers == 100 && total.New.Bad == uint64(fresh) && total.New.Answers == uint64(100+fresh)
 	}, 10*time.Second, time.Millisecond, "evidence")
 }
--- a/internal/gateway/searching_test.go
+++ b/internal/gateway/searching_test.go
@@ -45,7 +45,7 @@
 		case 3:
 			close(answered)
 		}
-		_ = json.NewEncoder(writer).Encode(directory.FollowReply{Source: "leading", Whole: true, RouterCount: 1, Version: 1, Document: packed})
+		_ = json.NewEncoder(writer).Encode(directory.FollowReply{Source: "leading", Complete: true, RouterCount: 1, Version: 1, Document: packed})
 	}))
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -35,7 +35,7 @@
 
 // ColdLimits returns the limits of requests to cold servers.
 func (o *Options) ColdLimits() scatter.ColdLimits {
-	return scatter.ColdLimits{Over: o.ColdOver, Slack: o.ColdSlack}
+	return scatter.ColdLimits{RateFactor: o.ColdOver, Slack: o.ColdSlack}
 }
 
 // BudgetLimits returns the limits of hedges and retries.
--- a/internal/gateway/site_test.go
+++ b/internal/gateway/site_test.go
@@ -50,7 +50,7 @@
 		stub.addServer("i-"+service, service, "", serve(t, handler))
 	}
 	stub.mutex.Lock()
-	stub.reply.Source, stub.reply.Whole, stub.reply.Nodes = "stub", true, []string{node}
+	stub.reply.Source, stub.reply.Complete, stub.reply.Nodes = "stub", true, []string{node}
 	stub.mutex.Unlock()
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
--- a/internal/gateway/slice_client.go
+++ b/internal/gateway/slice_client.go
@@ -55,7 +55,7 @@
 // dial connects to a router. If it fails, nothing was sent.
 func (c *sliceClient) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	began := steadyclock.Now()
-	dialer := net.Dialer{Timeout: c.connectTimeout.current(), KeepAlive: -1, Control: liveness.Bound(peerAckTimeout)}
+	dialer := net.Dialer{Timeout: c.connectTimeout.current(), KeepAlive: -1, Control: liveness.LimitUnacknowledged(peerAckTimeout)}
 	conn, err := dialer.DialContext(ctx, network, address)
 	var failure net.Error
 	if err == nil || errors.As(err, &failure) && failure.Timeout() {
@@ -125,7 +125,7 @@
 	// over a new connection. An empty Idempotency-Key allows that without being sent.
 	request.Header["Idempotency-Key"] = []string{}
 	expected := addressee.Identity{Group: c.group(), Name: router.Name}
-	addressee.Mark(request.Header, expected)
+	addressee.SetHeaders(request.Header, expected)
 	acceptTimer := time.AfterFunc(acceptTimeout, func() {
 		time.AfterFunc(acceptGrace, func() {
 			if !answered.Load() {
@@ -143,7 +143,7 @@
 		// sends anything.
 		return nil, written.Load() && timedOut, err
 	}
-	if err := addressee.Check(response, expected, router.Identifies); err != nil {
+	if err := addressee.CheckResponse(response, expected, router.Identifies); err != nil {
 		_ = response.Body.Close()
 		return nil, mayHaveAccepted(response, err), err
 	}
--- a/internal/gateway/slice_server.go
+++ b/internal/gateway/slice_server.go
@@ -175,8 +175,8 @@
 func (g *Gateway) submitShards(local localSlice) localGather {
 	incoming := submission{
 		arrived: scatter.Arrived{
-			Route: local.route, Services: local.shards, Deadline: local.deadline, Due: local.due, Earlier: local.earlier,
-			Claims: local.claims.Token != 0,
+			Route: local.route, Services: local.shards, Deadline: local.deadline, Due: local.due, PriorAttempts: local.earlier,
+			ClaimExtras: local.claims.Token != 0,
 		},
 		claims: local.claims, request: local.request, evidence: local.evidence, id: make(chan scatter.RequestID, 1), events: local.events, slice: local.slice,
 	}
--- a/internal/gateway/trials.go
+++ b/internal/gateway/trials.go
@@ -124,8 +124,8 @@
 	grantQuarantined
 )
 
-func (s *exchangeState) quarantineOrder(kind quarantine.Kind, forwarded *fingerprinted) quarantine.Order {
-	return quarantine.Order{Kind: kind, Fingerprint: forwarded.fingerprint(), By: s.gateway.config.Name}
+func (s *exchangeState) quarantineOrder(kind quarantine.Kind, forwarded *fingerprinted) quarantine.Command {
+	return quarantine.Command{Kind: kind, Fingerprint: forwarded.fingerprint(), By: s.gateway.config.Name}
 }
 
 // requestTrial requests a trial from the directory. A router that reaches no node runs the
@@ -134,7 +134,7 @@
 func (s *exchangeState) requestTrial(forwarded *fingerprinted) trialGrant {
 	ctx, cancel := context.WithTimeout(s.request.Context(), min(orderTimeout, s.remaining()))
 	defer cancel()
-	reply, err := s.gateway.follower.postOrders(ctx, []quarantine.Order{s.quarantineOrder(quarantine.Try, forwarded)})
+	reply, err := s.gateway.follower.postOrders(ctx, []quarantine.Command{s.quarantineOrder(quarantine.Try, forwarded)})
 	switch {
 	case err != nil:
 	case reply.Outcomes[0].Granted:
--- a/internal/gateway/trials_test.go
+++ b/internal/gateway/trials_test.go
@@ -22,12 +22,12 @@
 	return quarantine.FingerprintOf(&message.Request{Method: http.MethodGet, Host: "site", Target: path, Body: []byte{}})
 }
 
-func suspectOrder(path string) quarantine.Order {
-	return quarantine.Order{Kind: quarantine.Report, Fingerprint: fingerprintOf(path), Servers: []string{"i-gone"}}
+func suspectOrder(path string) quarantine.Command {
+	return quarantine.Command{Kind: quarantine.Report, Fingerprint: fingerprintOf(path), Servers: []string{"i-gone"}}
 }
 
-func quarantineOrders(path string) []quarantine.Order {
-	return []quarantine.Order{{Kind: quarantine.Report, Fingerprint: fingerprintOf(path), Servers: []string{"i-1", "i-2", "i-3"}, Tried: true}}
+func quarantineOrders(path string) []quarantine.Command {
+	return []quarantine.Command{{Kind: quarantine.Report, Fingerprint: fingerprintOf(path), Servers: []string{"i-1", "i-2", "i-3"}, Tried: true}}
 }
 
 // countRequests counts the requests of a handler.
@@ -172,7 +172,7 @@
 func TestTrialThatIsNotGrantedIsRefusedAsNotRun(t *testing.T) {
 	var served atomic.Int64
 	s := startSite(t, nil, map[string]http.HandlerFunc{"s": countRequests(&served, echo)})
-	try := quarantine.Order{Kind: quarantine.Try, Fingerprint: fingerprintOf("/a/x")}
+	try := quarantine.Command{Kind: quarantine.Try, Fingerprint: fingerprintOf("/a/x")}
 	s.directory.applyOrders(suspectOrder("/a/x"), try, try)
 	s.install(oneRoute(1, "s"))
 	got := s.send(http.MethodGet, "/a/x", nil)
@@ -217,7 +217,7 @@
 // request send slices to one that has it: nothing is sent to servers. The client gets a final
 // answer if the request is quarantined, and may retry if it is suspected.
 func TestRouterRefusesSliceOfARequestThatCrashesServers(t *testing.T) {
-	for status, orders := range map[int][]quarantine.Order{
+	for status, orders := range map[int][]quarantine.Command{
 		http.StatusBadRequest: quarantineOrders("/a/x"),
 		http.StatusBadGateway: {suspectOrder("/a/x")},
 	} {
@@ -226,7 +226,7 @@
 		peers := listenLocal(t)
 		for _, stub := range []*directoryStub{informed, uninformed} {
 			stub.addServer("i-t", "t", "b", serve(t, countRequests(&served, echo)))
-			stub.reply.Source, stub.reply.Whole, stub.reply.RoutersDigest = "stub", true, 1
+			stub.reply.Source, stub.reply.Complete, stub.reply.RoutersDigest = "stub", true, 1
 			stub.reply.Routers = []directory.ListedRouter{{Name: "other", Zone: "b", Address: peers.Addr().String()}}
 		}
 		informed.applyOrders(orders...)
--- a/internal/isolation/isolation.go
+++ b/internal/isolation/isolation.go
@@ -24,9 +24,9 @@
 
 // Round is the result of probes sent at about the same time.
 type Round struct {
-	// Own counts the routers of the same zone that answered, Others those of other zones.
-	Own    int
-	Others int
+	// OwnZone counts the routers of the same zone that answered, Others those of other zones.
+	OwnZone    int
+	OtherZones int
 }
 
 // Finding is the conclusion after a round.
@@ -51,25 +51,25 @@
 	finding            Finding
 }
 
-// Heard records a message from another zone.
-func (d *Detector) Heard(now time.Time) {
+// ObserveContact records a message from another zone.
+func (d *Detector) ObserveContact(now time.Time) {
 	if now.After(d.lastContact) {
 		d.lastContact = now
 	}
 }
 
-// Suspects reports whether a failure of a router of another zone should start probes.
-func (d *Detector) Suspects(now time.Time) bool {
+// ShouldProbe reports whether a failure of a router of another zone should start probes.
+func (d *Detector) ShouldProbe(now time.Time) bool {
 	return d.finding == Connected && now.Sub(d.lastContact) > QuietTime
 }
 
-// Take records a round and returns the resulting finding.
-func (d *Detector) Take(round Round) Finding {
+// ObserveRound records a round and returns the resulting finding.
+func (d *Detector) ObserveRound(round Round) Finding {
 	switch {
-	case round.Others > 0:
+	case round.OtherZones > 0:
 		d.isolatedRounds, d.inconclusiveRounds, d.finding = 0, 0, Connected
 	case d.finding == Isolated:
-	case round.Own > 0:
+	case round.OwnZone > 0:
 		d.isolatedRounds++
 		d.finding = Uncertain
 		if d.isolatedRounds >= RoundsToIsolate {
--- a/internal/isolation/isolation_test.go
+++ b/internal/isolation/isolation_test.go
@@ -14,21 +14,21 @@
 
 func TestOnlyAFailureAfterSilenceIsSuspected(t *testing.T) {
 	var detector isolation.Detector
-	require.True(t, detector.Suspects(origin), "no message was ever received")
-	detector.Heard(origin)
-	require.False(t, detector.Suspects(origin.Add(isolation.QuietTime)))
-	require.True(t, detector.Suspects(origin.Add(isolation.QuietTime+1)))
-	detector.Take(isolation.Round{Own: 1})
-	require.False(t, detector.Suspects(origin.Add(time.Hour)), "probes are already in flight")
+	require.True(t, detector.ShouldProbe(origin), "no message was ever received")
+	detector.ObserveContact(origin)
+	require.False(t, detector.ShouldProbe(origin.Add(isolation.QuietTime)))
+	require.True(t, detector.ShouldProbe(origin.Add(isolation.QuietTime+1)))
+	detector.ObserveRound(isolation.Round{OwnZone: 1})
+	require.False(t, detector.ShouldProbe(origin.Add(time.Hour)), "probes are already in flight")
 }
 
 func TestRoundsWithoutOtherZonesIsolateUntilOneAnswers(t *testing.T) {
 	var detector isolation.Detector
-	require.Equal(t, isolation.Uncertain, detector.Take(isolation.Round{Own: 2}))
-	require.Equal(t, isolation.Isolated, detector.Take(isolation.Round{Own: 1}))
-	require.Equal(t, isolation.Isolated, detector.Take(isolation.Round{}))
-	require.Equal(t, isolation.Connected, detector.Take(isolation.Round{Others: 1}))
-	require.Equal(t, isolation.Uncertain, detector.Take(isolation.Round{Own: 2}))
+	require.Equal(t, isolation.Uncertain, detector.ObserveRound(isolation.Round{OwnZone: 2}))
+	require.Equal(t, isolation.Isolated, detector.ObserveRound(isolation.Round{OwnZone: 1}))
+	require.Equal(t, isolation.Isolated, detector.ObserveRound(isolation.Round{}))
+	require.Equal(t, isolation.Connected, detector.ObserveRound(isolation.Round{OtherZones: 1}))
+	require.Equal(t, isolation.Uncertain, detector.ObserveRound(isolation.Round{OwnZone: 2}))
 }
 
 // TestRouterWithoutAnyAnswerIsNotIsolated checks rounds without any answer: the router may
@@ -38,7 +38,7 @@
 		var detector isolation.Detector
 		for range rapid.IntRange(1, 50).Draw(t, "rounds") {
 			others := rapid.IntRange(0, 1).Draw(t, "others")
-			require.NotEqual(t, isolation.Isolated, detector.Take(isolation.Round{Others: others}))
+			require.NotEqual(t, isolation.Isolated, detector.ObserveRound(isolation.Round{OtherZones: others}))
 		}
 	})
 }
--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -125,9 +125,9 @@
 	return g.installed, nil
 }
 
-// Leave removes a child that promised to admit nothing more. Grants to it are refused from now
+// Release removes a child that promised to admit nothing more. Grants to it are refused from now
 // on, because a call sent before may arrive after.
-func (g *Grantor) Leave(now time.Time, id ChildID, remember time.Duration) {
+func (g *Grantor) Release(now time.Time, id ChildID, remember time.Duration) {
 	delete(g.children, id)
 	g.departed[id] = now.Add(remember)
 }
@@ -151,9 +151,9 @@
 	return expired
 }
 
-// InForce returns the highest revision such that every holder of a lease below admits work
+// InEffect returns the highest revision such that every holder of a lease below admits work
 // only under that revision or a higher one, now and from now on. It never decreases.
-func (g *Grantor) InForce(now time.Time) uint64 {
+func (g *Grantor) InEffect(now time.Time) uint64 {
 	if now.Before(g.unknownUntil) {
 		return g.reported
 	}
@@ -181,8 +181,8 @@
 	return statuses
 }
 
-// Live returns the number of children whose lease may be valid.
-func (g *Grantor) Live(now time.Time) int {
+// CountLive returns the number of children whose lease may be valid.
+func (g *Grantor) CountLive(now time.Time) int {
 	live := 0
 	for _, known := range g.children {
 		if !known.expired(now) {
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -86,8 +86,8 @@
 	return term >= h.term && revision >= h.revision
 }
 
-// End releases the lease.
-func (h *Holder) End() { h.until = time.Time{} }
+// Release releases the lease.
+func (h *Holder) Release() { h.until = time.Time{} }
 
 // Valid reports whether work may be admitted at a time.
 func (h *Holder) Valid(now time.Time) bool { return now.Before(h.until) }
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -127,7 +127,7 @@
 	to := rapid.SampledFrom(upstreams).Draw(t, "to")
 	sent := &call{from: from, to: to, boot: from.boot, sentAt: m.now(from), acknowledged: from.holder.Revision()}
 	if m.isRelay(from) {
-		sent.acknowledged = from.grantor.InForce(m.now(from))
+		sent.acknowledged = from.grantor.InEffect(m.now(from))
 	}
 	m.calls = append(m.calls, sent)
 	return sent
@@ -242,7 +242,7 @@
 // check has every voter report its revision in effect and checks it against every router.
 func (m *model) check(t *rapid.T) {
 	for _, voter := range m.voters {
-		m.reported = max(m.reported, voter.grantor.InForce(m.now(voter)))
+		m.reported = max(m.reported, voter.grantor.InEffect(m.now(voter)))
 		voter.grantor.Expire(m.now(voter))
 	}
 	for _, relay := range m.relays {
--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -10,11 +10,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bound returns a control function for a net.Dialer that makes a connection fail once sent
+// LimitUnacknowledged returns a control function for a net.Dialer that makes a connection fail once sent
 // bytes have stayed unacknowledged for the given time, in whole milliseconds
 // (TCP_USER_TIMEOUT, RFC 5482). The peer's host acknowledges even while its process is busy or
 // suspended. If the option can't be set, the dial fails.
-func Bound(silence time.Duration) func(network, address string, conn syscall.RawConn) error {
+func LimitUnacknowledged(silence time.Duration) func(network, address string, conn syscall.RawConn) error {
 	return func(_, _ string, conn syscall.RawConn) error {
 		var failure error
 		err := conn.Control(func(descriptor uintptr) {
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -15,7 +15,7 @@
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { require.NoError(t, listener.Close()) }()
-	dialer := net.Dialer{Control: liveness.Bound(1500 * time.Millisecond)}
+	dialer := net.Dialer{Control: liveness.LimitUnacknowledged(1500 * time.Millisecond)}
 	conn, err := dialer.Dial("tcp4", listener.Addr().String())
 	require.NoError(t, err)
 	defer func() { require.NoError(t, conn.Close()) }()
--- a/internal/machinelist/fake.go
+++ b/internal/machinelist/fake.go
@@ -34,8 +34,8 @@
 	State   State
 }
 
-// StandInConfig configures a fake platform.
-type StandInConfig struct {
+// FakePlatformConfig configures a fake platform.
+type FakePlatformConfig struct {
 	// Machines are live from the start.
 	Machines []netip.AddrPort
 	// Lag is how far the served list is behind the changes.
@@ -46,9 +46,9 @@
 	Now func() time.Time
 }
 
-// StandIn is a platform for tests and experiments: it serves a list that lags behind the
+// FakePlatform is a platform for tests and experiments: it serves a list that lags behind the
 // changes made to it.
-type StandIn struct {
+type FakePlatform struct {
 	now     func() time.Time
 	started time.Time
 
@@ -58,12 +58,12 @@
 	changes []Change
 }
 
-// NewStandIn returns a fake platform that starts now.
-func NewStandIn(config StandInConfig) *StandIn {
+// NewFakePlatform returns a fake platform that starts now.
+func NewFakePlatform(config FakePlatformConfig) *FakePlatform {
 	if config.Now == nil {
 		config.Now = time.Now
 	}
-	platform := &StandIn{now: config.Now, started: config.Now(), lag: config.Lag, initial: config.Machines}
+	platform := &FakePlatform{now: config.Now, started: config.Now(), lag: config.Lag, initial: config.Machines}
 	for _, change := range config.Changes {
 		platform.insert(change)
 	}
@@ -71,7 +71,7 @@
 }
 
 // List returns the list as it was one lag ago, but not before the start.
-func (s *StandIn) List() List {
+func (s *FakePlatform) List() List {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	elapsed := max(0, s.now().Sub(s.started)-s.lag)
@@ -95,21 +95,21 @@
 }
 
 // Change applies a change of state now.
-func (s *StandIn) Change(address netip.AddrPort, state State) {
+func (s *FakePlatform) Change(address netip.AddrPort, state State) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.insert(Change{At: s.now().Sub(s.started), Address: address, State: state})
 }
 
 // SetLag sets how far the list is behind.
-func (s *StandIn) SetLag(lag time.Duration) {
+func (s *FakePlatform) SetLag(lag time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.lag = lag
 }
 
 // insert keeps the changes sorted by time; equal times stay in the order of insertion.
-func (s *StandIn) insert(change Change) {
+func (s *FakePlatform) insert(change Change) {
 	s.changes = append(s.changes, change)
 	slices.SortStableFunc(s.changes, func(left, right Change) int { return cmp.Compare(left.At, right.At) })
 }
@@ -133,7 +133,7 @@
 
 // Handler serves the list and the calls that change it. Its OpenAPI document is at
 // /openapi.json.
-func (s *StandIn) Handler() http.Handler {
+func (s *FakePlatform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	config := huma.DefaultConfig("martenstage platform stand-in", "1")
 	// Links to schemas would add a field to the list that platforms lack.
@@ -148,11 +148,11 @@
 	return mux
 }
 
-func (s *StandIn) serveList(context.Context, *struct{}) (*listOutput, error) {
+func (s *FakePlatform) serveList(context.Context, *struct{}) (*listOutput, error) {
 	return &listOutput{Body: s.List()}, nil
 }
 
-func (s *StandIn) serveChange(_ context.Context, input *changeInput) (*struct{}, error) {
+func (s *FakePlatform) serveChange(_ context.Context, input *changeInput) (*struct{}, error) {
 	address, err := settings.ParseAddress(input.Body.Address)
 	if err != nil {
 		return nil, huma.Error422UnprocessableEntity(err.Error())
@@ -161,7 +161,7 @@
 	return nil, nil
 }
 
-func (s *StandIn) serveLag(_ context.Context, input *lagInput) (*struct{}, error) {
+func (s *FakePlatform) serveLag(_ context.Context, input *lagInput) (*struct{}, error) {
 	lag, err := time.ParseDuration(input.Body.Lag)
 	if err != nil || lag < 0 {
 		return nil, huma.Error422UnprocessableEntity(errors.Newf("lag %q is not a duration such as 5s", input.Body.Lag).Error())
--- a/internal/machinelist/machinelist_test.go
+++ b/internal/machinelist/machinelist_test.go
@@ -34,7 +34,7 @@
 func TestListIsServedALagBehind(t *testing.T) {
 	started := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	now := started
-	platform := NewStandIn(StandInConfig{
+	platform := NewFakePlatform(FakePlatformConfig{
 		Machines: []netip.AddrPort{machineOne, machineTwo}, Lag: 5 * time.Second, Now: func() time.Time { return now },
 		Changes: []Change{{At: 10 * time.Second, Address: machineTwo, State: StateGone}},
 	})
@@ -84,7 +84,7 @@
 func TestScriptIsChecked(t *testing.T) {
 	config, err := parseScript([]byte("lag: 5s\nchanges:\n  - {at: 10s, address: \"127.0.0.1:7001\", state: leaving}\n"))
 	require.NoError(t, err)
-	require.Equal(t, StandInConfig{Lag: 5 * time.Second,
+	require.Equal(t, FakePlatformConfig{Lag: 5 * time.Second,
 		Changes: []Change{{At: 10 * time.Second, Address: machineOne, State: StateLeaving}}}, config)
 	for _, text := range []string{"lags: 5s", "changes: [{address: \"[::1]:1\", state: live}]",
 		"changes: [{address: \"127.0.0.1:1\", state: away}]"} {
@@ -95,7 +95,7 @@
 
 func TestRunKeepsReadingAfterAFailure(t *testing.T) {
 	var reads atomic.Int64
-	platform := NewStandIn(StandInConfig{Machines: []netip.AddrPort{machineOne}})
+	platform := NewFakePlatform(FakePlatformConfig{Machines: []netip.AddrPort{machineOne}})
 	client := clientOf(t, http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if reads.Add(1) <= 2 {
 			http.Error(writer, "down", http.StatusServiceUnavailable)
@@ -143,7 +143,7 @@
 	for index := range machines {
 		addresses = append(addresses, netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 64, byte(index >> 8), byte(index)}), 9))
 	}
-	text, err := json.Marshal(NewStandIn(StandInConfig{Machines: addresses}).List())
+	text, err := json.Marshal(NewFakePlatform(FakePlatformConfig{Machines: addresses}).List())
 	require.NoError(b, err)
 	b.Run("whole", func(b *testing.B) {
 		b.ReportAllocs()
--- a/internal/machinelist/script.go
+++ b/internal/machinelist/script.go
@@ -27,36 +27,36 @@
 }
 
 // ReadScript reads the lag and the changes of a fake platform from a YAML file.
-func ReadScript(path string) (StandInConfig, error) {
+func ReadScript(path string) (FakePlatformConfig, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return StandInConfig{}, errors.Wrap(err, "script")
+		return FakePlatformConfig{}, errors.Wrap(err, "script")
 	}
 	config, err := parseScript(text)
 	return config, errors.Wrapf(err, "script %s", path)
 }
 
-func parseScript(text []byte) (StandInConfig, error) {
+func parseScript(text []byte) (FakePlatformConfig, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(text))
 	decoder.KnownFields(true)
 	var document scriptDocument
 	if err := decoder.Decode(&document); err != nil && !errors.Is(err, io.EOF) {
-		return StandInConfig{}, err
+		return FakePlatformConfig{}, err
 	}
 	if document.Lag < 0 {
-		return StandInConfig{}, errors.New("lag: must not be negative")
+		return FakePlatformConfig{}, errors.New("lag: must not be negative")
 	}
-	config := StandInConfig{Lag: document.Lag}
+	config := FakePlatformConfig{Lag: document.Lag}
 	for index, entry := range document.Changes {
 		address, err := settings.ParseAddress(entry.Address)
 		if err != nil {
-			return StandInConfig{}, errors.Wrapf(err, "change %d", index+1)
+			return FakePlatformConfig{}, errors.Wrapf(err, "change %d", index+1)
 		}
 		if entry.State != StateLive && entry.State != StateLeaving && entry.State != StateGone {
-			return StandInConfig{}, errors.Newf("change %d: unknown state %q", index+1, entry.State)
+			return FakePlatformConfig{}, errors.Newf("change %d: unknown state %q", index+1, entry.State)
 		}
 		if entry.At < 0 {
-			return StandInConfig{}, errors.Newf("change %d: at must not be negative", index+1)
+			return FakePlatformConfig{}, errors.Newf("change %d: at must not be negative", index+1)
 		}
 		config.Changes = append(config.Changes, Change{At: entry.At, Address: address, State: entry.State})
 	}
--- a/internal/membership/machines.go
+++ b/internal/membership/machines.go
@@ -110,9 +110,9 @@
 	}
 }
 
-// SetPlatform replaces the platform's list. A machine that is no longer listed counts as gone
+// SetPlatformList replaces the platform's list. A machine that is no longer listed counts as gone
 // until it is listed again.
-func (m *Machines) SetPlatform(now time.Time, list map[string]State) {
+func (m *Machines) SetPlatformList(now time.Time, list map[string]State) {
 	for address := range m.platform {
 		if _, listed := list[address]; !listed {
 			m.platform[address] = Gone
@@ -126,8 +126,8 @@
 	}
 }
 
-// SetOperator records an operator's report; Live withdraws the one before.
-func (m *Machines) SetOperator(now time.Time, address string, state State) {
+// SetOperatorState records an operator's report; Live withdraws the one before.
+func (m *Machines) SetOperatorState(now time.Time, address string, state State) {
 	if state == Live {
 		delete(m.operator, address)
 	} else {
--- a/internal/membership/machines_test.go
+++ b/internal/membership/machines_test.go
@@ -33,23 +33,23 @@
 			machines.Observe(now, Observation{Address: backEnd, State: Gone, Router: "router-2"})
 		}, Gone},
 		"an operator drained it": {func(machines *Machines, now time.Time) {
-			machines.SetOperator(now, backEnd, Leaving)
+			machines.SetOperatorState(now, backEnd, Leaving)
 		}, Leaving},
 	} {
 		now := time.Unix(1000, 0)
 		machines := NewMachines()
-		machines.SetPlatform(now, live)
+		machines.SetPlatformList(now, live)
 		test.apply(machines, now)
 		require.Equal(t, test.want, stateOf(machines), name)
 		for range 3 {
 			now = now.Add(time.Second)
-			machines.SetPlatform(now, live)
+			machines.SetPlatformList(now, live)
 			machines.Expire(now)
 			require.Equal(t, test.want, stateOf(machines), "%s: the platform list lags behind", name)
 		}
-		machines.SetPlatform(now, nil)
+		machines.SetPlatformList(now, nil)
 		require.Equal(t, Gone, stateOf(machines), "%s: it is no longer listed", name)
-		machines.SetPlatform(now, live)
+		machines.SetPlatformList(now, live)
 		require.Equal(t, test.want, stateOf(machines), "%s: it was listed again", name)
 	}
 }
--- a/internal/probing/config.go
+++ b/internal/probing/config.go
@@ -43,9 +43,9 @@
 	Interval time.Duration
 	// IdlePause is the maximum time without an observation of a ready back end.
 	IdlePause time.Duration
-	// HeardPause is the maximum pause between probes of a back end whose replies
+	// ObservedPause is the maximum pause between probes of a back end whose replies
 	// count as observations.
-	HeardPause time.Duration
+	ObservedPause time.Duration
 	// DownPause is the maximum pause between probes of a back end that is
 	// unreachable, draining or warming.
 	DownPause time.Duration
@@ -57,7 +57,7 @@
 func (c Config) withDefaults() Config {
 	c.Interval = cmp.Or(c.Interval, DefaultInterval)
 	c.IdlePause = max(cmp.Or(c.IdlePause, DefaultIdlePause), c.Interval)
-	c.HeardPause = max(cmp.Or(c.HeardPause, DefaultObservedPause), c.IdlePause)
+	c.ObservedPause = max(cmp.Or(c.ObservedPause, DefaultObservedPause), c.IdlePause)
 	c.DownPause = max(cmp.Or(c.DownPause, DefaultDownPause), c.Interval)
 	c.Rate = cmp.Or(c.Rate, DefaultRate)
 	return c
@@ -70,7 +70,7 @@
 	return min(max(shared, c.Interval), c.IdlePause)
 }
 
-// Longest returns a pause with the largest positive jitter.
-func Longest(pause time.Duration) time.Duration {
+// MaxWithJitter returns a pause with the largest positive jitter.
+func MaxWithJitter(pause time.Duration) time.Duration {
 	return time.Duration(float64(pause) * (1 + jitterFraction))
 }
--- a/internal/probing/schedule.go
+++ b/internal/probing/schedule.go
@@ -137,7 +137,7 @@
 	if !served.After(probe) {
 		return probe
 	}
-	latest := s.afterPause(s.probedAt, s.config.HeardPause)
+	latest := s.afterPause(s.probedAt, s.config.ObservedPause)
 	if latest.Before(served) {
 		return latest
 	}
@@ -148,8 +148,8 @@
 	return moment.Add(time.Duration(float64(pause) * s.pauseFactor))
 }
 
-// Probed records the outcome of a probe.
-func (s *Schedule) Probed(probe Probe) {
+// ObserveProbe records the outcome of a probe.
+func (s *Schedule) ObserveProbe(probe Probe) {
 	found := conditionOf(probe)
 	if found != s.condition {
 		s.condition, s.conditionSince = found, probe.At
@@ -167,9 +167,9 @@
 	s.pauseFactor = 1 - jitterFraction + 2*jitterFraction*s.random()
 }
 
-// Skipped records that a due probe was not made or that its outcome was lost. The
+// ProbeSkipped records that a due probe was not made or that its outcome was lost. The
 // next probe is due an interval later.
-func (s *Schedule) Skipped(now time.Time) {
+func (s *Schedule) ProbeSkipped(now time.Time) {
 	if s.condition == conditionUnknown {
 		s.probedAt = now.Add(s.config.Interval)
 		return
@@ -190,8 +190,8 @@
 	}
 }
 
-// Heard records the end of an attempt.
-func (s *Schedule) Heard(reply Reply) {
+// ObserveReply records the end of an attempt.
+func (s *Schedule) ObserveReply(reply Reply) {
 	switch reply.Meaning {
 	case MeaningServing:
 		s.observeServing(reply)
@@ -220,8 +220,8 @@
 	}
 }
 
-// Watch starts close probing after a change of an external report about the back end.
-func (s *Schedule) Watch(now time.Time) { s.closeProbingUntil = now.Add(closeProbingTime) }
+// ProbeClosely starts close probing after a change of an external report about the back end.
+func (s *Schedule) ProbeClosely(now time.Time) { s.closeProbingUntil = now.Add(closeProbingTime) }
 
 // random returns the next number in [0,1) of a sequence determined by the seed
 // (Steele, Lea and Flood, "Fast splittable pseudorandom number generators",
--- a/internal/probing/schedule_test.go
+++ b/internal/probing/schedule_test.go
@@ -18,7 +18,7 @@
 // testConfig spells out the defaults for use in the properties.
 var testConfig = probing.Config{
 	Interval: 250 * time.Millisecond, IdlePause: 1500 * time.Millisecond,
-	HeardPause: 4 * time.Second, DownPause: 4 * time.Second, Rate: 16,
+	ObservedPause: 4 * time.Second, DownPause: 4 * time.Second, Rate: 16,
 }
 
 // minWithJitter returns a pause with the largest negative jitter.
@@ -61,7 +61,7 @@
 	if before.At.IsZero() || before.Reachable != reachable || before.State != m.probed.State {
 		m.downSince = m.now
 	}
-	m.schedule.Probed(m.probed)
+	m.schedule.ObserveProbe(m.probed)
 	m.suspected = false
 	if reachable {
 		m.lostProbes = 0
@@ -76,7 +76,7 @@
 
 func (m *model) reply(meaning probing.Meaning, age time.Duration, holdings string) {
 	sent := m.now.Add(-age)
-	m.schedule.Heard(probing.Reply{Sent: sent, At: m.now, Meaning: meaning, Holdings: holdings})
+	m.schedule.ObserveReply(probing.Reply{Sent: sent, At: m.now, Meaning: meaning, Holdings: holdings})
 	switch meaning {
 	case probing.MeaningServing:
 		m.refused = m.refused && !sent.After(m.refusedAt)
@@ -97,7 +97,7 @@
 }
 
 func (m *model) probeClosely() {
-	m.schedule.Watch(m.now)
+	m.schedule.ProbeClosely(m.now)
 	m.closeProbingUntil = m.now.Add(6 * time.Second)
 }
 
@@ -111,23 +111,23 @@
 	require.GreaterOrEqual(m, pause, minWithJitter(testConfig.Interval), "probes come too fast")
 	switch {
 	case m.suspected || m.refused || m.probed.At.Before(m.closeProbingUntil):
-		require.LessOrEqual(m, pause, probing.Longest(testConfig.Interval), "state uncertain")
+		require.LessOrEqual(m, pause, probing.MaxWithJitter(testConfig.Interval), "state uncertain")
 	case !m.ready():
 		bound := min(max(m.probed.At.Sub(m.downSince)/4, testConfig.Interval), testConfig.DownPause)
-		require.LessOrEqual(m, pause, probing.Longest(bound), "down")
+		require.LessOrEqual(m, pause, probing.MaxWithJitter(bound), "down")
 	default:
 		m.checkReady(pause)
 	}
 }
 
 func (m *model) checkReady(pause time.Duration) {
-	require.LessOrEqual(m, pause, probing.Longest(testConfig.HeardPause), "longest pause")
+	require.LessOrEqual(m, pause, probing.MaxWithJitter(testConfig.ObservedPause), "longest pause")
 	observed := m.probed.At
 	if m.servedAt.After(observed) {
 		observed = m.servedAt
 	}
 	silence := m.schedule.Due().Sub(observed)
-	require.LessOrEqual(m, silence, probing.Longest(testConfig.IdlePause), "nothing newer is known")
+	require.LessOrEqual(m, silence, probing.MaxWithJitter(testConfig.IdlePause), "nothing newer is known")
 	share := time.Duration(float64(m.routers) / testConfig.Rate * float64(time.Second))
 	require.GreaterOrEqual(m, pause, minWithJitter(min(max(share, testConfig.Interval), testConfig.IdlePause)), "the server's rate")
 }
@@ -173,11 +173,11 @@
 	for now := start; now.Before(start.Add(time.Minute)); now = now.Add(time.Millisecond) {
 		if queries > 0 && !now.Before(next) {
 			next = now.Add(queries)
-			schedule.Heard(probing.Reply{Sent: now.Add(-5 * time.Millisecond), At: now, Meaning: probing.MeaningServing, Holdings: holdings})
+			schedule.ObserveReply(probing.Reply{Sent: now.Add(-5 * time.Millisecond), At: now, Meaning: probing.MeaningServing, Holdings: holdings})
 		}
 		if !now.Before(schedule.Due()) {
 			count++
-			schedule.Probed(probing.Probe{At: now, Reachable: true, State: backendapi.StateReady, Holdings: "a"})
+			schedule.ObserveProbe(probing.Probe{At: now, Reachable: true, State: backendapi.StateReady, Holdings: "a"})
 		}
 	}
 	require.Positive(t, count)
@@ -204,7 +204,7 @@
 			if passed := due.Sub(start); passed > 59*time.Second {
 				counts[int(passed-59*time.Second)*slots/int(time.Second)]++
 			}
-			schedule.Probed(probing.Probe{At: due, Reachable: true, State: backendapi.StateReady})
+			schedule.ObserveProbe(probing.Probe{At: due, Reachable: true, State: backendapi.StateReady})
 		}
 	}
 	total := 0
@@ -222,13 +222,13 @@
 	for _, outage := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second, time.Minute, time.Hour} {
 		for seed := range uint64(20) {
 			schedule := probing.New(testConfig, start, seed)
-			schedule.Probed(probing.Probe{At: start, Reachable: true, State: backendapi.StateReady})
+			schedule.ObserveProbe(probing.Probe{At: start, Reachable: true, State: backendapi.StateReady})
 			gone := schedule.Due()
 			back := gone.Add(outage)
 			for schedule.Due().Before(back) {
-				schedule.Probed(probing.Probe{At: schedule.Due()})
+				schedule.ObserveProbe(probing.Probe{At: schedule.Due()})
 			}
-			bound := max(outage/3, probing.Longest(testConfig.Interval))
+			bound := max(outage/3, probing.MaxWithJitter(testConfig.Interval))
 			require.LessOrEqual(t, schedule.Due().Sub(back), min(bound, 5*time.Second), "%v, seed %d", outage, seed)
 		}
 	}
@@ -240,20 +240,20 @@
 	schedule := probing.New(testConfig, start, 1)
 	schedule.SetRouters(64)
 	ready := func(at time.Time) time.Duration {
-		schedule.Probed(probing.Probe{At: at, Reachable: true, State: backendapi.StateReady})
+		schedule.ObserveProbe(probing.Probe{At: at, Reachable: true, State: backendapi.StateReady})
 		return schedule.Due().Sub(at)
 	}
 	ready(start)
-	schedule.Heard(probing.Reply{Sent: start, At: start, Meaning: probing.MeaningDraining})
-	require.LessOrEqual(t, ready(start.Add(5*time.Minute-time.Second)), probing.Longest(testConfig.Interval))
+	schedule.ObserveReply(probing.Reply{Sent: start, At: start, Meaning: probing.MeaningDraining})
+	require.LessOrEqual(t, ready(start.Add(5*time.Minute-time.Second)), probing.MaxWithJitter(testConfig.Interval))
 	require.GreaterOrEqual(t, ready(start.Add(5*time.Minute)), minWithJitter(testConfig.IdlePause))
 
 	// A served query ends the distrust at once if it was sent after the refusal.
 	now := start.Add(6 * time.Minute)
-	schedule.Heard(probing.Reply{Sent: now, At: now, Meaning: probing.MeaningDraining})
-	schedule.Heard(probing.Reply{Sent: now.Add(-time.Second), At: now, Meaning: probing.MeaningServing})
-	require.LessOrEqual(t, ready(now), probing.Longest(testConfig.Interval))
-	schedule.Heard(probing.Reply{Sent: now.Add(time.Second), At: now, Meaning: probing.MeaningServing})
+	schedule.ObserveReply(probing.Reply{Sent: now, At: now, Meaning: probing.MeaningDraining})
+	schedule.ObserveReply(probing.Reply{Sent: now.Add(-time.Second), At: now, Meaning: probing.MeaningServing})
+	require.LessOrEqual(t, ready(now), probing.MaxWithJitter(testConfig.Interval))
+	schedule.ObserveReply(probing.Reply{Sent: now.Add(time.Second), At: now, Meaning: probing.MeaningServing})
 	require.GreaterOrEqual(t, ready(now), minWithJitter(testConfig.IdlePause))
 }
 
@@ -261,11 +261,11 @@
 func TestSkippedProbesAreMadeUpFor(t *testing.T) {
 	schedule := probing.New(testConfig, start, 1)
 	schedule.SetRouters(64)
-	schedule.Skipped(start)
+	schedule.ProbeSkipped(start)
 	require.Equal(t, start.Add(testConfig.Interval), schedule.Due())
-	schedule.Probed(probing.Probe{At: start, Reachable: true, State: backendapi.StateReady})
-	schedule.Skipped(start.Add(time.Second))
-	require.LessOrEqual(t, schedule.Due().Sub(start.Add(time.Second)), probing.Longest(testConfig.Interval))
+	schedule.ObserveProbe(probing.Probe{At: start, Reachable: true, State: backendapi.StateReady})
+	schedule.ProbeSkipped(start.Add(time.Second))
+	require.LessOrEqual(t, schedule.Due().Sub(start.Add(time.Second)), probing.MaxWithJitter(testConfig.Interval))
 }
 
 func TestWhatTheEndOfAnAttemptMeans(t *testing.T) {
@@ -302,9 +302,9 @@
 	dueAfter := func(read time.Duration) time.Time {
 		schedule := probing.New(testConfig, start, 1)
 		schedule.SetRouters(64)
-		schedule.Probed(probing.Probe{At: start, Reachable: true, State: backendapi.StateReady, Holdings: "a"})
+		schedule.ObserveProbe(probing.Probe{At: start, Reachable: true, State: backendapi.StateReady, Holdings: "a"})
 		sent := start.Add(time.Second)
-		schedule.Heard(probing.Reply{Sent: sent, At: sent.Add(read), Meaning: probing.MeaningServing, Holdings: "a"})
+		schedule.ObserveReply(probing.Reply{Sent: sent, At: sent.Add(read), Meaning: probing.MeaningServing, Holdings: "a"})
 		return schedule.Due()
 	}
 	require.True(t, dueAfter(0).After(start.Add(time.Second)), "the reply counts")
@@ -325,14 +325,14 @@
 		now := start
 		probe := func(reachable bool) {
 			now = now.Add(time.Second)
-			schedule.Probed(probing.Probe{At: now, Reachable: reachable, Silent: !reachable && test.silent, State: backendapi.StateReady})
+			schedule.ObserveProbe(probing.Probe{At: now, Reachable: reachable, Silent: !reachable && test.silent, State: backendapi.StateReady})
 		}
 		probe(true)
-		schedule.Heard(probing.Reply{Sent: now, At: now, Meaning: probing.MeaningDraining})
+		schedule.ObserveReply(probing.Reply{Sent: now, At: now, Meaning: probing.MeaningDraining})
 		for range test.lost {
 			probe(false)
 		}
 		probe(true)
-		require.Equal(t, test.close, schedule.Due().Sub(now) <= probing.Longest(testConfig.Interval), "%+v", test)
+		require.Equal(t, test.close, schedule.Due().Sub(now) <= probing.MaxWithJitter(testConfig.Interval), "%+v", test)
 	}
 }
--- a/internal/proof/experiment/sockets/router.go
+++ b/internal/proof/experiment/sockets/router.go
@@ -94,7 +94,7 @@
 	name := "router-" + strconv.Itoa(n.index)
 	logger := silent()
 	return router.New(router.Config{
-		Name: name, Zone: config.Zones[n.index], Boot: uint64(time.Now().UnixNano()), Alone: true,
+		Name: name, Zone: config.Zones[n.index], Boot: uint64(time.Now().UnixNano()), Standalone: true,
 		Engines: engines, ProbeInterval: config.ProbeInterval,
 	}, router.Dependencies{
 		Logger: logger, Registerer: registry,
--- a/internal/proof/experiment/virtual/fault.go
+++ b/internal/proof/experiment/virtual/fault.go
@@ -73,7 +73,7 @@
 func (s *server) depart() {
 	s.departed = s.world.clock.Now()
 	s.world.recorder.Departure(records.Departure{Backend: s.name, Began: s.world.wall()})
-	s.announce(query.MachineLeaving)
+	s.announce(query.MachineDraining)
 }
 
 func (s *server) announce(state query.MachineState) {
--- a/internal/proof/experiment/virtual/probe.go
+++ b/internal/proof/experiment/virtual/probe.go
@@ -39,7 +39,7 @@
 	if watched.server.fault("crash") == nil {
 		observed.Reachable, observed.Health = true, watched.server.health()
 	}
-	watched.schedule.Probed(probing.ProbeOf(observed, r.world.wall()))
+	watched.schedule.ObserveProbe(probing.ProbeOf(observed, r.world.wall()))
 	r.step(observed)
 	r.arm(watched)
 }
@@ -69,7 +69,7 @@
 // heard takes the end of an attempt into the schedule of its server.
 func (r *router) heard(address netip.AddrPort, reply probing.Reply) {
 	if watched := r.watches[address]; watched != nil {
-		watched.schedule.Heard(reply)
+		watched.schedule.ObserveReply(reply)
 		r.arm(watched)
 	}
 }
@@ -78,7 +78,7 @@
 func (r *router) hear(word query.MachineObserved) {
 	r.step(word)
 	if watched := r.watches[word.Address]; watched != nil {
-		watched.schedule.Watch(r.world.wall())
+		watched.schedule.ProbeClosely(r.world.wall())
 		r.arm(watched)
 	}
 }
--- a/internal/proof/experiment/virtual/router.go
+++ b/internal/proof/experiment/virtual/router.go
@@ -124,11 +124,11 @@
 		w.claims.settle(typed)
 	case query.Respond:
 		r.respond(typed)
-	case query.Wake:
+	case query.SetTimer:
 		r.wakeAt(typed.At.Sub(virtualtime.Epoch))
 	case query.Warm:
 		r.warm(typed)
-	case query.Observed:
+	case query.PublishMachineState:
 		r.passOn(typed)
 	case query.Stopped:
 		if r.stopped != nil {
@@ -155,7 +155,7 @@
 	})
 }
 
-func (r *router) passOn(observed query.Observed) {
+func (r *router) passOn(observed query.PublishMachineState) {
 	for _, other := range r.world.routers {
 		if other != r {
 			r.world.clock.After(observationLag, func() {
--- a/internal/proof/experiment/virtual/world_test.go
+++ b/internal/proof/experiment/virtual/world_test.go
@@ -42,7 +42,7 @@
 		}}
 		if s.cancelAfter > 0 && s.cancelAt.IsZero() {
 			s.cancelAt = now.Add(s.cancelAfter)
-			commands = append(commands, query.Wake{At: s.cancelAt})
+			commands = append(commands, query.SetTimer{At: s.cancelAt})
 		}
 		return commands
 	case query.TimerFired:
--- a/internal/proof/scale/machines.go
+++ b/internal/proof/scale/machines.go
@@ -24,7 +24,7 @@
 // machines stands in for the platform whose list of servers the voters read,
 // and restarts servers at the target's rate.
 type machines struct {
-	standIn   *machinelist.StandIn
+	standIn   *machinelist.FakePlatform
 	addresses []netip.AddrPort
 	server    *http.Server
 	next      int
@@ -34,7 +34,7 @@
 // serveMachines serves the list of a configuration's servers at an address.
 func serveMachines(address string, configuration *Configuration) (*machines, error) {
 	addresses := configuration.Addresses()
-	standIn := machinelist.NewStandIn(machinelist.StandInConfig{Machines: addresses})
+	standIn := machinelist.NewFakePlatform(machinelist.FakePlatformConfig{Machines: addresses})
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "platform list")
--- a/internal/proof/simulation/caller.go
+++ b/internal/proof/simulation/caller.go
@@ -273,7 +273,7 @@
 func (r *router) callerGone(s *submission) {
 	if s.admitted != 0 {
 		if _, waiting := r.waiting[s.admitted]; waiting {
-			r.step(query.CallerGone{Request: s.admitted})
+			r.step(query.CallerDisconnected{Request: s.admitted})
 		}
 	}
 	r.callers = remove(r.callers, s)
--- a/internal/proof/simulation/crossing.go
+++ b/internal/proof/simulation/crossing.go
@@ -55,7 +55,7 @@
 			handle: func(back reply) { back(entry.takesRequests()) },
 			done: func(result callResult) {
 				reached := !result.failed && result.answer.(bool)
-				c.report(c.region.Probed(c.router.now(), address, reached))
+				c.report(c.region.RecordProbe(c.router.now(), address, reached))
 			},
 		})
 	}
@@ -126,7 +126,7 @@
 		from: &w.router.process, to: &peer.process, timeout: timeout,
 		handle: func(back reply) { peer.enter(w.submission, w.request, left, back) },
 		done: func(result callResult) {
-			w.ended(remote.Asked{Entry: entry, Begun: begun, Outcome: outcomeOf(result, connected)}, result)
+			w.ended(remote.Attempt{Entry: entry, Begun: begun, Outcome: outcomeOf(result, connected)}, result)
 		},
 	})
 }
@@ -139,20 +139,20 @@
 	case result.refused:
 		return remote.NotConnected
 	case result.failed:
-		return remote.Silent
+		return remote.TimedOut
 	}
 	answer := result.answer.(query.Answer)
 	if answer.Err != nil && answer.Verdict == verdict.NotRun &&
 		(answer.Err.Reason == verdict.ReasonStopping || answer.Err.Reason == verdict.ReasonNoLease) {
-		return remote.TurnedAway
+		return remote.Rejected
 	}
 	return remote.Answered
 }
 
 // ended takes in what became of an offer, and makes another one after a proof
 // that the request did not run.
-func (w *crossingWay) ended(asked remote.Asked, result callResult) {
-	w.report(w.region.Step(w.router.now(), asked))
+func (w *crossingWay) ended(asked remote.Attempt, result callResult) {
+	w.report(w.region.RecordOutcome(w.router.now(), asked))
 	answer := forwardedAnswer(result)
 	w.ran = verdict.Combine(w.ran, answer.Verdict)
 	if asked.Outcome == remote.Answered || w.ran != verdict.NotRun || !w.router.now().Before(w.until) {
--- a/internal/proof/simulation/follower.go
+++ b/internal/proof/simulation/follower.go
@@ -320,7 +320,7 @@
 // leave gives the lease back. The node admits nothing any more.
 func (f *follower) leave() {
 	f.left = true
-	f.holder.End()
+	f.holder.Release()
 	if f.granted == nil {
 		return
 	}
--- a/internal/proof/simulation/granter.go
+++ b/internal/proof/simulation/granter.go
@@ -140,7 +140,7 @@
 func (g *granter) sync(request syncRequest, reply reply) {
 	now := g.process.now()
 	if request.leaving {
-		g.grantor.Leave(now, childOf(request.node), leftMemory)
+		g.grantor.Release(now, childOf(request.node), leftMemory)
 		g.tables.LapseChild(now, request.node.Name)
 		g.sumUp()
 		reply(syncResponse{})
@@ -329,5 +329,5 @@
 	if !g.root {
 		g.installLatest()
 	}
-	return g.grantor.InForce(g.process.now())
+	return g.grantor.InEffect(g.process.now())
 }
--- a/internal/proof/simulation/probe.go
+++ b/internal/proof/simulation/probe.go
@@ -69,7 +69,7 @@
 				observed.Health = r.world.mutations.health(result.answer)
 			}
 			w.underWay = false
-			w.schedule.Probed(probing.ProbeOf(observed, r.now()))
+			w.schedule.ObserveProbe(probing.ProbeOf(observed, r.now()))
 			w.arm()
 			r.step(observed)
 		},
@@ -79,7 +79,7 @@
 // heard takes the end of an attempt into the schedule of its back end.
 func (r *router) heard(ended *attempt, outcome query.Event) {
 	if watched := r.watches[ended.send.Address]; watched != nil {
-		watched.schedule.Heard(probing.ReplyOf(outcome, ended.sentAt, r.now()))
+		watched.schedule.ObserveReply(probing.ReplyOf(outcome, ended.sentAt, r.now()))
 		watched.arm()
 	}
 }
@@ -87,7 +87,7 @@
 // hear takes in that the word of others about a back end changed.
 func (r *router) hear(word query.MachineObserved) {
 	if watched := r.watches[word.Address]; watched != nil {
-		watched.schedule.Watch(r.now())
+		watched.schedule.ProbeClosely(r.now())
 		watched.arm()
 	}
 	r.step(word)
--- a/internal/proof/simulation/router.go
+++ b/internal/proof/simulation/router.go
@@ -128,9 +128,9 @@
 		r.claims.settle(command)
 	case query.Respond:
 		r.respond(command)
-	case query.Wake:
+	case query.SetTimer:
 		r.wake.set(command.At)
-	case query.Observed:
+	case query.PublishMachineState:
 		r.follow.observe(command.Address.String(), machineState(command.State))
 	case query.Record:
 		r.spool.record(command.Event)
@@ -142,9 +142,9 @@
 
 func machineState(state query.MachineState) membership.State {
 	switch state {
-	case query.MachineLeaving:
+	case query.MachineDraining:
 		return membership.Leaving
-	case query.MachineGone:
+	case query.MachineRemoved:
 		return membership.Gone
 	default:
 		return membership.Live
@@ -257,7 +257,7 @@
 func (r *router) applyShares() {
 	effective, next := r.ledger.Effective(r.now())
 	if r.lapsed {
-		effective = lo.MapValues(cell.Whole(r.plan), func(cell.Share, netip.AddrPort) cell.Share { return cell.Share{} })
+		effective = lo.MapValues(cell.Limits(r.plan), func(cell.Share, netip.AddrPort) cell.Share { return cell.Share{} })
 		next = time.Time{}
 	}
 	addresses := lo.Keys(effective)
--- a/internal/proof/simulation/router_sink.go
+++ b/internal/proof/simulation/router_sink.go
@@ -64,7 +64,7 @@
 
 func (r routerSink) observeMachine(address string, state membership.State) {
 	word := map[membership.State]query.MachineState{
-		membership.Live: query.MachineLive, membership.Leaving: query.MachineLeaving, membership.Gone: query.MachineGone,
+		membership.Live: query.MachineLive, membership.Leaving: query.MachineDraining, membership.Gone: query.MachineRemoved,
 	}[state]
 	r.hear(query.MachineObserved{Address: netip.MustParseAddrPort(address), State: word})
 }
--- a/internal/proof/simulation/voter.go
+++ b/internal/proof/simulation/voter.go
@@ -74,7 +74,7 @@
 
 func newVoter(world *World, at seat, id uint64) *voter {
 	v := &voter{process: newProcess(world, at), id: id}
-	v.wake = alarm{process: &v.process, act: func() { v.step(consensus.Wake{}) }}
+	v.wake = alarm{process: &v.process, act: func() { v.step(consensus.DeadlineReached{}) }}
 	v.control = newControl(v)
 	return v
 }
@@ -104,7 +104,7 @@
 	}
 	v.world.raft.restarted(v, restored)
 	v.world.trace.note(v.name(), "voter_started", "id", v.id, "boot", v.boot, "entries", len(restored.Entries), "applied", v.applied)
-	v.step(consensus.Wake{})
+	v.step(consensus.DeadlineReached{})
 	v.control.start()
 	v.watchDisk()
 }
@@ -148,7 +148,7 @@
 		v.apply(entry)
 	}
 	v.answer(output)
-	v.wake.set(output.Wake)
+	v.wake.set(output.NextDeadline)
 	v.takeSnapshot()
 }
 
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -44,8 +44,8 @@
 	Expire Kind = "expire"
 )
 
-// Order is a command that changes the ledger.
-type Order struct {
+// Command is a command that changes the ledger.
+type Command struct {
 	Kind        Kind        `json:"kind"`
 	Fingerprint Fingerprint `json:"fingerprint"`
 	// Servers are the terminated servers of a Report.
@@ -65,7 +65,7 @@
 const maxTextBytes = 200
 
 // Check returns an error if the command is invalid.
-func (o Order) Check() error {
+func (o Command) Check() error {
 	if !slices.Contains([]Kind{Report, Try, Return, Clear, Lift, Expire}, o.Kind) {
 		return errors.Newf("%.40q is no kind of order", o.Kind)
 	}
@@ -77,13 +77,13 @@
 	return nil
 }
 
-// Standing is the status of a request, which determines how routers handle it.
-type Standing uint8
+// Status is the status of a request, which determines how routers handle it.
+type Status uint8
 
 // Statuses of a request.
 const (
 	// Unknown requests are served without restriction.
-	Unknown Standing = iota
+	Unknown Status = iota
 	// Suspected requests are sent to a single server first, as a trial.
 	Suspected
 	// Quarantined requests are not sent to any server.
@@ -91,7 +91,7 @@
 )
 
 // String returns the status in lower case.
-func (s Standing) String() string { return [...]string{"unknown", "suspected", "quarantined"}[s] }
+func (s Status) String() string { return [...]string{"unknown", "suspected", "quarantined"}[s] }
 
 // Record is the state of one suspected or quarantined request.
 type Record struct {
@@ -112,17 +112,17 @@
 	At time.Time `json:"at"`
 }
 
-// Standing returns the status of the record's request.
-func (r Record) Standing() Standing {
+// Status returns the status of the record's request.
+func (r Record) Status() Status {
 	if r.Quarantined {
 		return Quarantined
 	}
 	return Suspected
 }
 
-// Book is the ledger of records: a deterministic state machine, so that replicas that apply
+// Ledger is the ledger of records: a deterministic state machine, so that replicas that apply
 // the same commands in the same order hold the same state.
-type Book struct {
+type Ledger struct {
 	// Records are in the order in which their requests were first reported.
 	Records []Record `json:"records,omitempty"`
 	// Revision increases whenever the status of a request changes.
@@ -134,12 +134,12 @@
 	// Granted reports whether the requested trial may run.
 	Granted bool `json:"granted,omitempty"`
 	// Before and After are the statuses of the request before and after the command.
-	Before Standing `json:"before"`
-	After  Standing `json:"after"`
+	Before Status `json:"before"`
+	After  Status `json:"after"`
 }
 
 // Apply executes a command. For a request without a record, only a Report has an effect.
-func (b *Book) Apply(command Order) Outcome {
+func (b *Ledger) Apply(command Command) Outcome {
 	index := b.indexOf(command.Fingerprint)
 	outcome := Outcome{Before: b.statusAt(index)}
 	switch {
@@ -166,20 +166,20 @@
 	return outcome
 }
 
-func (b *Book) indexOf(fingerprint Fingerprint) int {
+func (b *Ledger) indexOf(fingerprint Fingerprint) int {
 	return slices.IndexFunc(b.Records, func(r Record) bool { return r.Fingerprint == fingerprint })
 }
 
-func (b *Book) statusAt(index int) Standing {
+func (b *Ledger) statusAt(index int) Status {
 	if index < 0 {
 		return Unknown
 	}
-	return b.Records[index].Standing()
+	return b.Records[index].Status()
 }
 
 // applyReport adds terminated servers to the record at index, or to a new record if index is
 // negative.
-func (b *Book) applyReport(index int, command Order) {
+func (b *Ledger) applyReport(index int, command Command) {
 	if index < 0 {
 		b.evict()
 		b.Records = append(b.Records, Record{
@@ -215,7 +215,7 @@
 	r.Quarantined = r.Quarantined || len(r.Tried) == trialFailuresToQuarantine
 }
 
-func (b *Book) grantTrial(record *Record) bool {
+func (b *Ledger) grantTrial(record *Record) bool {
 	if record.Quarantined || record.Trials >= MaxTrials {
 		return false
 	}
@@ -226,7 +226,7 @@
 // evict makes space in a full ledger by removing a record of the caller with the most
 // records, so that one caller cannot evict the records of others: its oldest suspected
 // record, or else its oldest.
-func (b *Book) evict() {
+func (b *Ledger) evict() {
 	if len(b.Records) < MaxRecords {
 		return
 	}
@@ -255,7 +255,7 @@
 }
 
 // Entries returns all records in the form published to routers.
-func (b *Book) Entries() []Entry {
+func (b *Ledger) Entries() []Entry {
 	entries := make([]Entry, 0, len(b.Records))
 	for _, record := range b.Records {
 		entries = append(entries, Entry{Fingerprint: record.Fingerprint, Quarantined: record.Quarantined})
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -16,25 +16,25 @@
 	return quarantine.FingerprintOf(&message.Request{Method: "GET", Target: name})
 }
 
-func reportCommand(name string, trial bool, servers ...string) quarantine.Order {
-	return quarantine.Order{Kind: quarantine.Report, Fingerprint: fingerprintOf(name), Servers: servers, Tried: trial, Caller: "c"}
+func reportCommand(name string, trial bool, servers ...string) quarantine.Command {
+	return quarantine.Command{Kind: quarantine.Report, Fingerprint: fingerprintOf(name), Servers: servers, Tried: trial, Caller: "c"}
 }
 
-func command(kind quarantine.Kind, name string) quarantine.Order {
-	return quarantine.Order{Kind: kind, Fingerprint: fingerprintOf(name)}
+func command(kind quarantine.Kind, name string) quarantine.Command {
+	return quarantine.Command{Kind: kind, Fingerprint: fingerprintOf(name)}
 }
 
-func statusOf(ledger *quarantine.Book, name string) quarantine.Standing {
+func statusOf(ledger *quarantine.Ledger, name string) quarantine.Status {
 	for _, record := range ledger.Records {
 		if record.Fingerprint == fingerprintOf(name) {
-			return record.Standing()
+			return record.Status()
 		}
 	}
 	return quarantine.Unknown
 }
 
 func TestServersThatEndTogetherQuarantineNothing(t *testing.T) {
-	var ledger quarantine.Book
+	var ledger quarantine.Ledger
 	for server := range 40 {
 		ledger.Apply(reportCommand("r", false, fmt.Sprint("i-", server)))
 	}
@@ -49,7 +49,7 @@
 // trial of the sweep ran 50 ms later on a seventh: the sweep was refused by all routers for an
 // hour. Hence two trials have to terminate their servers.
 func TestATrialBesideALostRackQuarantinesNothing(t *testing.T) {
-	var ledger quarantine.Book
+	var ledger quarantine.Ledger
 	for server := range 6 {
 		ledger.Apply(reportCommand("r", false, fmt.Sprint("i-", server)))
 	}
@@ -62,7 +62,7 @@
 }
 
 func TestTrialThatEndsItsServerQuarantinesFromTheThirdOn(t *testing.T) {
-	var ledger quarantine.Book
+	var ledger quarantine.Ledger
 	ledger.Apply(reportCommand("r", false, "i-1"))
 	require.True(t, ledger.Apply(command(quarantine.Try, "r")).Granted)
 	ledger.Apply(reportCommand("r", true, "i-2"))
@@ -77,7 +77,7 @@
 }
 
 func TestSameServerCountsOnce(t *testing.T) {
-	var ledger quarantine.Book
+	var ledger quarantine.Ledger
 	ledger.Apply(reportCommand("r", false, "i-1", "i-1"))
 	ledger.Apply(reportCommand("r", false, "i-1"))
 	ledger.Apply(reportCommand("r", true, "i-2"))
@@ -86,7 +86,7 @@
 }
 
 func TestTrialsAreBoundedUntilOneReportsItsOutcome(t *testing.T) {
-	var ledger quarantine.Book
+	var ledger quarantine.Ledger
 	require.False(t, ledger.Apply(command(quarantine.Try, "r")).Granted, "a request without a record")
 	ledger.Apply(reportCommand("r", false, "i-1"))
 	for range quarantine.MaxTrials {
@@ -100,7 +100,7 @@
 }
 
 func TestAnswerEndsSuspicionAndAnOperatorLiftsAll(t *testing.T) {
-	var ledger quarantine.Book
+	var ledger quarantine.Ledger
 	ledger.Apply(reportCommand("r", false, "i-1"))
 	require.Equal(t, quarantine.Unknown, ledger.Apply(command(quarantine.Clear, "r")).After)
 	ledger.Apply(reportCommand("q", true, "i-1", "i-2", "i-3"))
@@ -113,7 +113,7 @@
 }
 
 func TestExpiredQuarantineIsTriedBeforeItIsServed(t *testing.T) {
-	var ledger quarantine.Book
+	var ledger quarantine.Ledger
 	ledger.Apply(reportCommand("r", true, "i-1", "i-2", "i-3"))
 	require.Equal(t, quarantine.Suspected, ledger.Apply(command(quarantine.Expire, "r")).After)
 	require.True(t, ledger.Apply(command(quarantine.Try, "r")).Granted)
@@ -125,7 +125,7 @@
 // TestCallerWithManyRecordsEvictsOnlyItsOwn reports more requests of one caller than the
 // ledger holds.
 func TestCallerWithManyRecordsEvictsOnlyItsOwn(t *testing.T) {
-	var ledger quarantine.Book
+	var ledger quarantine.Ledger
 	others := reportCommand("other", true, "i-1", "i-2", "i-3")
 	others.Caller = "other"
 	ledger.Apply(others)
@@ -145,13 +145,13 @@
 
 func TestOrdersOutOfBoundsAreRefused(t *testing.T) {
 	require.NoError(t, reportCommand("r", false, "i-1").Check())
-	require.Error(t, quarantine.Order{Kind: "other"}.Check())
-	require.Error(t, quarantine.Order{}.Check())
+	require.Error(t, quarantine.Command{Kind: "other"}.Check())
+	require.Error(t, quarantine.Command{}.Check())
 	require.Error(t, reportCommand("r", false, strings.Repeat("x", 300)).Check())
 }
 
 func TestLedgerRoundTripsAsJSON(t *testing.T) {
-	var ledger, read quarantine.Book
+	var ledger, read quarantine.Ledger
 	ledger.Apply(reportCommand("r", true, "i-1", "i-2", "i-3"))
 	ledger.Apply(reportCommand("s", false, "i-1"))
 	text, err := json.Marshal(ledger)
@@ -164,17 +164,17 @@
 	var view quarantine.View
 	require.True(t, view.Empty())
 	view.Reported(fingerprintOf("own"), false)
-	require.Equal(t, quarantine.Suspected, view.Standing(fingerprintOf("own")))
-	added := view.Take(3, []quarantine.Entry{{Fingerprint: fingerprintOf("q"), Quarantined: true}, {Fingerprint: fingerprintOf("s")}})
+	require.Equal(t, quarantine.Suspected, view.Status(fingerprintOf("own")))
+	added := view.Update(3, []quarantine.Entry{{Fingerprint: fingerprintOf("q"), Quarantined: true}, {Fingerprint: fingerprintOf("s")}})
 	require.Equal(t, []quarantine.Fingerprint{fingerprintOf("q")}, added)
-	require.Empty(t, view.Take(2, nil), "an older revision")
-	require.Equal(t, quarantine.Quarantined, view.Standing(fingerprintOf("q")))
-	require.Equal(t, quarantine.Suspected, view.Standing(fingerprintOf("own")), "not acknowledged yet")
+	require.Empty(t, view.Update(2, nil), "an older revision")
+	require.Equal(t, quarantine.Quarantined, view.Status(fingerprintOf("q")))
+	require.Equal(t, quarantine.Suspected, view.Status(fingerprintOf("own")), "not acknowledged yet")
 	require.True(t, view.Pending(fingerprintOf("own")))
 	view.Acknowledged(fingerprintOf("own"), 4)
 	require.False(t, view.Pending(fingerprintOf("own")))
-	require.Equal(t, quarantine.Suspected, view.Standing(fingerprintOf("own")))
-	require.Empty(t, view.Take(4, nil))
+	require.Equal(t, quarantine.Suspected, view.Status(fingerprintOf("own")))
+	require.Empty(t, view.Update(4, nil))
 	require.True(t, view.Empty(), "the published ledger has cleared it")
 	view.Reported(fingerprintOf("dropped"), false)
 	view.Acknowledged(fingerprintOf("dropped"), 0)
@@ -188,13 +188,13 @@
 	own := fingerprintOf("own")
 	for range 5 {
 		view.Reported(own, false)
-		require.Equal(t, quarantine.Suspected, view.Standing(own))
+		require.Equal(t, quarantine.Suspected, view.Status(own))
 	}
 	view.Reported(own, true)
-	require.Equal(t, quarantine.Suspected, view.Standing(own), "one trial may hit the outage that ended the others")
+	require.Equal(t, quarantine.Suspected, view.Status(own), "one trial may hit the outage that ended the others")
 	view.Reported(own, true)
-	require.Equal(t, quarantine.Quarantined, view.Standing(own))
+	require.Equal(t, quarantine.Quarantined, view.Status(own))
 	view.Acknowledged(own, 1)
-	view.Take(1, nil)
-	require.Equal(t, quarantine.Unknown, view.Standing(own), "the published ledger takes precedence")
+	view.Update(1, nil)
+	require.Equal(t, quarantine.Unknown, view.Status(own), "the published ledger takes precedence")
 }
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -29,7 +29,7 @@
 type fleet struct {
 	t        *rapid.T
 	now      int
-	ledger   quarantine.Book
+	ledger   quarantine.Ledger
 	routers  []*fleetRouter
 	pending  []pendingCommand
 	failures int
@@ -61,13 +61,13 @@
 type pendingCommand struct {
 	dueAt   int
 	from    *fleetRouter
-	command quarantine.Order
+	command quarantine.Command
 }
 
 // sendRequest sends a client's request to a router. Every server that runs a lethal request
 // fails; coincident is the number of servers that fail at that moment for another reason.
 func (f *fleet) sendRequest(router *fleetRouter, name string, lethal bool, coincident int) {
-	switch router.view.Standing(fingerprintOf(name)) {
+	switch router.view.Status(fingerprintOf(name)) {
 	case quarantine.Quarantined:
 		if !lethal {
 			f.refused++
@@ -122,7 +122,7 @@
 	}
 }
 
-func (f *fleet) enqueue(from *fleetRouter, command quarantine.Order) {
+func (f *fleet) enqueue(from *fleetRouter, command quarantine.Command) {
 	f.pending = append(f.pending, pendingCommand{dueAt: max(f.now, from.partitionedUntil) + rapid.IntRange(0, maxCommandDelay).Draw(f.t, "command delay"), from: from, command: command})
 }
 
@@ -146,7 +146,7 @@
 			continue
 		}
 		if router.updateDue > 0 && router.updateDue <= f.now {
-			router.view.Take(router.revision, router.entries)
+			router.view.Update(router.revision, router.entries)
 			router.updateDue = 0
 		}
 		if router.updateDue == 0 && f.ledger.Revision > router.view.Revision() {
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -6,7 +6,7 @@
 // The zero value is empty. It is not safe for concurrent use.
 type View struct {
 	revision  uint64
-	published map[Fingerprint]Standing
+	published map[Fingerprint]Status
 	// local holds statuses that follow from this router's own reports until a published
 	// revision includes them, since callers often retry a request before that.
 	local map[Fingerprint]localStatus
@@ -16,7 +16,7 @@
 // is superseded by revision publishedBy of the ledger, which is 0 until the last report is
 // acknowledged.
 type localStatus struct {
-	status        Standing
+	status        Status
 	trialFailures int
 	publishedBy   uint64
 }
@@ -24,8 +24,8 @@
 // Empty reports whether all requests are unknown.
 func (v *View) Empty() bool { return len(v.published)+len(v.local) == 0 }
 
-// Standing returns the status of a request.
-func (v *View) Standing(fingerprint Fingerprint) Standing {
+// Status returns the status of a request.
+func (v *View) Status(fingerprint Fingerprint) Status {
 	return max(v.published[fingerprint], v.local[fingerprint].status)
 }
 
@@ -51,18 +51,18 @@
 	return suspected, quarantined
 }
 
-// Take replaces the published entries by those of a newer revision and returns the requests
+// Update replaces the published entries by those of a newer revision and returns the requests
 // that are newly quarantined. A revision that is not newer is ignored.
-func (v *View) Take(revision uint64, entries []Entry) (quarantined []Fingerprint) {
+func (v *View) Update(revision uint64, entries []Entry) (quarantined []Fingerprint) {
 	if revision <= v.revision {
 		return nil
 	}
-	published := make(map[Fingerprint]Standing, len(entries))
+	published := make(map[Fingerprint]Status, len(entries))
 	for _, entry := range entries {
 		published[entry.Fingerprint] = Suspected
 		if entry.Quarantined {
 			published[entry.Fingerprint] = Quarantined
-			if v.Standing(entry.Fingerprint) != Quarantined {
+			if v.Status(entry.Fingerprint) != Quarantined {
 				quarantined = append(quarantined, entry.Fingerprint)
 			}
 		}
--- a/internal/query/backends.go
+++ b/internal/query/backends.go
@@ -12,14 +12,14 @@
 
 func (e *Engine) healthObserved(event HealthObserved) {
 	if event.Silent {
-		e.serverChanged(e.pool.ObserveSilence(e.now, event.Address))
+		e.serverChanged(e.pool.ObserveProbeTimeout(e.now, event.Address))
 		return
 	}
 	e.serverChanged(e.pool.ObserveHealth(e.now, event.Address, event.Reachable, event.Health))
 }
 
 func (e *Engine) machineObserved(event MachineObserved) {
-	server := e.pool.ObserveWord(e.now, event.Address, event.State != MachineLive)
+	server := e.pool.ObserveExternalReport(e.now, event.Address, event.State != MachineLive)
 	e.serverChanged(server)
 }
 
@@ -108,8 +108,8 @@
 	}
 	switch transition.Kind {
 	case journal.KindDrainBegun:
-		e.emit(Observed{Address: transition.Server.Address, State: MachineLeaving})
+		e.emit(PublishMachineState{Address: transition.Server.Address, State: MachineDraining})
 	case journal.KindDrainDone:
-		e.emit(Observed{Address: transition.Server.Address, State: MachineLive})
+		e.emit(PublishMachineState{Address: transition.Server.Address, State: MachineLive})
 	}
 }
--- a/internal/query/command.go
+++ b/internal/query/command.go
@@ -68,8 +68,8 @@
 	Answer  Answer
 }
 
-// Wake requests TimerFired at a time. Each Wake replaces the previous one.
-type Wake struct{ At time.Time }
+// SetTimer requests TimerFired at a time. Each SetTimer replaces the previous one.
+type SetTimer struct{ At time.Time }
 
 // Warm tells the shell how many open connections to a back end to maintain.
 type Warm struct {
@@ -77,9 +77,9 @@
 	Connections int
 }
 
-// Observed informs other nodes that this engine observed a back end start draining,
+// PublishMachineState informs other nodes that this engine observed a back end start draining,
 // or return to service afterwards.
-type Observed struct {
+type PublishMachineState struct {
 	Address netip.AddrPort
 	State   MachineState
 }
@@ -90,16 +90,16 @@
 // Stopped reports that no request is left after StopRequested.
 type Stopped struct{}
 
-func (Send) isCommand()        {}
-func (Cancel) isCommand()      {}
-func (Claim) isCommand()       {}
-func (SettleClaim) isCommand() {}
-func (Respond) isCommand()     {}
-func (Wake) isCommand()        {}
-func (Warm) isCommand()        {}
-func (Observed) isCommand()    {}
-func (Record) isCommand()      {}
-func (Stopped) isCommand()     {}
+func (Send) isCommand()                {}
+func (Cancel) isCommand()              {}
+func (Claim) isCommand()               {}
+func (SettleClaim) isCommand()         {}
+func (Respond) isCommand()             {}
+func (SetTimer) isCommand()            {}
+func (Warm) isCommand()                {}
+func (PublishMachineState) isCommand() {}
+func (Record) isCommand()              {}
+func (Stopped) isCommand()             {}
 
 // Snapshot identifies the state of the index that an answer is drawn from.
 type Snapshot struct {
--- a/internal/query/dispatch.go
+++ b/internal/query/dispatch.go
@@ -158,7 +158,7 @@
 	if shard.phase != shardWaiting {
 		return
 	}
-	r.partition.queues[shard.group.Index()].Leave(r.route.Policy.Priority)
+	r.partition.queues[shard.group.Index()].Discard(r.route.Policy.Priority)
 	e.waitingShards--
 	shard.phase = shardSent
 }
--- a/internal/query/engine.go
+++ b/internal/query/engine.go
@@ -100,7 +100,7 @@
 		e.requestArrived(event.Request)
 	case HealthObserved:
 		e.healthObserved(event)
-	case CallerGone:
+	case CallerDisconnected:
 		e.callerDisconnected(event.Request)
 	case ClaimDecided:
 		e.claimDecided(event)
--- a/internal/query/engine_test.go
+++ b/internal/query/engine_test.go
@@ -262,16 +262,16 @@
 	h := newHarness(t, Config{Zone: "a"}, testPlan(1, 2, testPolicy()))
 	address := h.plan.Services[0].Generations[0].Shards[0].Replicas[0].Address
 	published := func(commands []Command) []MachineState {
-		return lo.Map(commandsOf[Observed](commands), func(observed Observed, _ int) MachineState { return observed.State })
+		return lo.Map(commandsOf[PublishMachineState](commands), func(observed PublishMachineState, _ int) MachineState { return observed.State })
 	}
 
-	require.Equal(t, []MachineState{MachineLeaving}, published(h.report(address, backendapi.StateDraining, 1, 0, 1)))
+	require.Equal(t, []MachineState{MachineDraining}, published(h.report(address, backendapi.StateDraining, 1, 0, 1)))
 	require.Empty(t, published(h.report(address, backendapi.StateDraining, 1, 0, 1)))
 	require.Equal(t, []MachineState{MachineLive}, published(h.report(address, backendapi.StateReady, 1, 0, 1)))
 	require.Empty(t, published(h.report(address, backendapi.StateReady, 1, 0, 1)))
 
 	// A departure reported by others is retracted by them.
-	h.step(MachineObserved{Address: address, State: MachineLeaving})
+	h.step(MachineObserved{Address: address, State: MachineDraining})
 	require.Empty(t, published(h.report(address, backendapi.StateReady, 1, 0, 1)))
 }
 
@@ -282,7 +282,7 @@
 			h.step(AttemptFailed{Attempt: sent.Attempt, Verdict: verdict.NotRun, Reason: verdict.ReasonDraining})
 		},
 		"report by others": func(h *harness, address netip.AddrPort) {
-			h.step(MachineObserved{Address: address, State: MachineLeaving})
+			h.step(MachineObserved{Address: address, State: MachineDraining})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -304,7 +304,7 @@
 	h := newHarness(t, Config{Zone: "a"}, &plan.Plan{Services: []plan.Service{{Name: testService}}})
 	complete := testPlan(1, 1, testPolicy())
 	address := complete.Services[0].Generations[0].Shards[0].Replicas[0].Address
-	h.step(MachineObserved{Address: address, State: MachineLeaving})
+	h.step(MachineObserved{Address: address, State: MachineDraining})
 	h.plan = complete
 	h.install()
 	h.reportVersions(1)
--- a/internal/query/event.go
+++ b/internal/query/event.go
@@ -64,8 +64,8 @@
 // RequestArrived submits a request for admission.
 type RequestArrived struct{ Request Request }
 
-// CallerGone reports that the caller of a request no longer waits.
-type CallerGone struct{ Request RequestID }
+// CallerDisconnected reports that the caller of a request no longer waits.
+type CallerDisconnected struct{ Request RequestID }
 
 // ClaimDecided is the reply to command Claim.
 type ClaimDecided struct {
@@ -154,23 +154,23 @@
 // Machine states.
 const (
 	MachineLive MachineState = iota + 1
-	MachineLeaving
-	MachineGone
+	MachineDraining
+	MachineRemoved
 )
 
 // TimerFired reports that the last requested time has come. Spurious ones are
 // harmless.
 type TimerFired struct{}
 
-func (ConfigInstalled) isEvent() {}
-func (LeaseRenewed) isEvent()    {}
-func (StopRequested) isEvent()   {}
-func (ShareChanged) isEvent()    {}
-func (RequestArrived) isEvent()  {}
-func (CallerGone) isEvent()      {}
-func (ClaimDecided) isEvent()    {}
-func (PartArrived) isEvent()     {}
-func (AttemptFailed) isEvent()   {}
-func (HealthObserved) isEvent()  {}
-func (MachineObserved) isEvent() {}
-func (TimerFired) isEvent()      {}
+func (ConfigInstalled) isEvent()    {}
+func (LeaseRenewed) isEvent()       {}
+func (StopRequested) isEvent()      {}
+func (ShareChanged) isEvent()       {}
+func (RequestArrived) isEvent()     {}
+func (CallerDisconnected) isEvent() {}
+func (ClaimDecided) isEvent()       {}
+func (PartArrived) isEvent()        {}
+func (AttemptFailed) isEvent()      {}
+func (HealthObserved) isEvent()     {}
+func (MachineObserved) isEvent()    {}
+func (TimerFired) isEvent()         {}
--- a/internal/query/hedge.go
+++ b/internal/query/hedge.go
@@ -101,7 +101,7 @@
 		return
 	}
 	server, availability := e.pool.Choose(e.now, shard.group, balancer.Need{
-		Version: r.version, Tried: shard.triedServers(), Spare: e.config.Tuning.limited() && !suspect,
+		Version: r.version, Tried: shard.triedServers(), FreeSlot: e.config.Tuning.limited() && !suspect,
 	})
 	switch availability {
 	case balancer.Available:
--- a/internal/query/model_test.go
+++ b/internal/query/model_test.go
@@ -142,7 +142,7 @@
 		m.checkSettle(command)
 	case Respond:
 		m.checkAnswer(m.requests[command.Request], command.Answer)
-	case Wake:
+	case SetTimer:
 		m.timerAt = command.At
 	case Stopped:
 		m.stopped++
--- a/internal/query/property_test.go
+++ b/internal/query/property_test.go
@@ -191,7 +191,7 @@
 
 func (m *model) doMachine(t *rapid.T) {
 	event := MachineObserved{Address: drawAddress(t)}
-	event.State = rapid.SampledFrom([]MachineState{MachineLive, MachineLive, MachineLeaving}).Draw(t, "state")
+	event.State = rapid.SampledFrom([]MachineState{MachineLive, MachineLive, MachineDraining}).Draw(t, "state")
 	if event.State != MachineLive {
 		m.draining[event.Address] = true
 	}
@@ -206,7 +206,7 @@
 
 func (m *model) doCallerDisconnected(t *rapid.T) {
 	if m.next > 0 {
-		m.apply(CallerGone{Request: RequestID(rapid.Uint64Range(1, uint64(m.next)).Draw(t, "request"))})
+		m.apply(CallerDisconnected{Request: RequestID(rapid.Uint64Range(1, uint64(m.next)).Draw(t, "request"))})
 	}
 }
 
--- a/internal/query/retry.go
+++ b/internal/query/retry.go
@@ -27,7 +27,7 @@
 	// anything else would add to the overload.
 	overloaded := event.Reason == verdict.ReasonOverloaded && e.config.Tuning.limited()
 	need := e.need(r, shard)
-	need.Spare = overloaded
+	need.FreeSlot = overloaded
 	server, availability := e.pool.Choose(e.now, shard.group, need)
 	switch {
 	case availability == balancer.Available:
--- a/internal/query/timers.go
+++ b/internal/query/timers.go
@@ -131,5 +131,5 @@
 		return
 	}
 	e.timerAt = next
-	e.emit(Wake{At: next})
+	e.emit(SetTimer{At: next})
 }
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -14,8 +14,8 @@
 const (
 	// Pass admits the request.
 	Pass Decision = iota
-	// Ask has the request wait for a token from the ledger.
-	Ask
+	// RequestToken has the request wait for a token from the ledger.
+	RequestToken
 	// Refuse rejects the request: the tenant has used up its limit.
 	Refuse
 )
@@ -104,7 +104,7 @@
 	if wait := g.nextToken[tenant].Sub(now); wait > 0 {
 		return Refuse, wait
 	}
-	return Ask, 0
+	return RequestToken, 0
 }
 
 // unconfirmed returns how many admitted requests the ledger has not acknowledged.
@@ -131,9 +131,9 @@
 	return Pass, 0
 }
 
-// TakeSpent returns what is to be reported and moves it to the unacknowledged requests;
+// TakeUnreported returns what is to be reported and moves it to the unacknowledged requests;
 // nil if there is nothing. ReportFailed reverses that if the report fails.
-func (g *Gate) TakeSpent() map[string]int {
+func (g *Gate) TakeUnreported() map[string]int {
 	if len(g.unreported) == 0 {
 		return nil
 	}
@@ -154,8 +154,8 @@
 	}
 }
 
-// Return records that a report failed, so that its requests are reported again.
-func (g *Gate) Return(spent map[string]int) {
+// ReportFailed records that a report failed, so that its requests are reported again.
+func (g *Gate) ReportFailed(spent map[string]int) {
 	g.acknowledge(spent)
 	for tenant, count := range spent {
 		g.unreported[tenant] += count
@@ -163,14 +163,14 @@
 	g.isolated = true
 }
 
-// Alone reports whether no leader is known to be reachable.
-func (g *Gate) Alone() bool { return g.isolated }
+// Isolated reports whether no leader is known to be reachable.
+func (g *Gate) Isolated() bool { return g.isolated }
 
-// Lose records that the directory is unreachable before any report has failed.
-func (g *Gate) Lose() { g.isolated = true }
+// SetIsolated records that the directory is unreachable before any report has failed.
+func (g *Gate) SetIsolated() { g.isolated = true }
 
-// Reached records the reply to a report of what was spent.
-func (g *Gate) Reached(now time.Time, spent map[string]int, reply Reply) {
+// ReportSucceeded records the reply to a report of what was spent.
+func (g *Gate) ReportSucceeded(now time.Time, spent map[string]int, reply Reply) {
 	g.isolated = false
 	clear(g.localBuckets)
 	g.acknowledge(spent)
