--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -18,9 +18,9 @@
 // Tolerance is by how much the requests of a tenant may exceed its limit: in any window, up to
 // (rate x window + burst) x (1 + fraction) + slack requests are allowed.
 type Tolerance struct {
-	Over   float64
-	Slack  float64
-	Window time.Duration
+	Fraction float64
+	Slack    float64
+	Window   time.Duration
 }
 
 // How the tolerance is used.
@@ -136,12 +136,12 @@
 
 // capacity returns how many tokens a bucket holds.
 func (l *Ledger) capacity(limit Limit) float64 {
-	return max(1, limit.Burst*(1+baseToleranceShare*l.tolerance.Over)+baseToleranceShare*l.tolerance.Slack)
+	return max(1, limit.Burst*(1+baseToleranceShare*l.tolerance.Fraction)+baseToleranceShare*l.tolerance.Slack)
 }
 
 // rate returns the refill rate of a bucket in tokens a second.
 func (l *Ledger) rate(limit Limit) float64 {
-	rate := limit.Rate * (1 + baseToleranceShare*l.tolerance.Over)
+	rate := limit.Rate * (1 + baseToleranceShare*l.tolerance.Fraction)
 	if l.tolerance.Window > 0 {
 		rate += steadySlackShare * l.tolerance.Slack / l.tolerance.Window.Seconds()
 	}
@@ -187,8 +187,8 @@
 	Metered map[string]bool `json:"metered,omitempty"`
 }
 
-// Take processes a message. A tenant without a limit gets all the tokens that it requests.
-func (l *Ledger) Take(now time.Time, message Message) Reply {
+// Process processes a message. A tenant without a limit gets all the tokens that it requests.
+func (l *Ledger) Process(now time.Time, message Message) Reply {
 	if last, known := l.lastSequences[message.Router]; !known || message.Sequence > last {
 		if !known && len(l.lastSequences) >= maxReporters {
 			clear(l.lastSequences)
@@ -277,8 +277,8 @@
 // Revision increases whenever the set of metered tenants changes.
 func (l *Ledger) Revision() uint64 { return l.revision }
 
-// Limited reports whether any tenant has a limit.
-func (l *Ledger) Limited() bool { return len(l.buckets) > 0 }
+// HasLimits reports whether any tenant has a limit.
+func (l *Ledger) HasLimits() bool { return len(l.buckets) > 0 }
 
 // Usage is the state of one tenant in the ledger.
 type Usage struct {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -28,7 +28,7 @@
 	window = 5 * time.Second
 )
 
-var tolerance = quota.Tolerance{Over: 0.1, Slack: 20, Window: window}
+var tolerance = quota.Tolerance{Fraction: 0.1, Slack: 20, Window: window}
 
 // fleet simulates routers that share the limit of one tenant, with delays between them and the
 // ledger.
@@ -129,14 +129,14 @@
 		f.passed = append(f.passed, f.now)
 	case quota.Refuse:
 		f.refused++
-	case quota.Ask:
+	case quota.RequestToken:
 		f.tokenRequests++
 		f.send(number, nil, map[string]int{tenant: 1})
 	}
 }
 
 func (f *fleet) report(number int) {
-	if spent := f.gates[number].TakeSpent(); spent != nil {
+	if spent := f.gates[number].TakeUnreported(); spent != nil {
 		f.send(number, spent, nil)
 	}
 }
@@ -144,18 +144,18 @@
 func (f *fleet) send(number int, spent, wanted map[string]int) {
 	if !f.reaches(number) {
 		f.refused += wanted[tenant]
-		f.after(reportTimeout, func() { f.gates[number].Return(spent) })
+		f.after(reportTimeout, func() { f.gates[number].ReportFailed(spent) })
 		return
 	}
 	f.sequence++
 	message := quota.Message{Router: fmt.Sprint(number), Sequence: f.sequence, Spent: spent, Wanted: wanted}
 	f.after(f.reportDelay, func() {
-		reply := f.ledger.Take(f.now, message)
+		reply := f.ledger.Process(f.now, message)
 		for range reply.Grants[tenant].Granted {
 			f.passed = append(f.passed, f.now)
 		}
 		f.refused += wanted[tenant] - reply.Grants[tenant].Granted
-		f.gates[number].Reached(f.now, spent, reply)
+		f.gates[number].ReportSucceeded(f.now, spent, reply)
 	})
 }
 
@@ -189,7 +189,7 @@
 }
 
 func (f *fleet) allowed() float64 {
-	return (f.limit.Rate*window.Seconds()+f.limit.Burst)*(1+tolerance.Over) + tolerance.Slack
+	return (f.limit.Rate*window.Seconds()+f.limit.Burst)*(1+tolerance.Fraction) + tolerance.Slack
 }
 
 // TestNoWindowExceedsTheLimit has a tenant send up to eight times its usual rate, with calm
@@ -248,13 +248,13 @@
 			break
 		}
 		passed++
-		spent := gate.TakeSpent()
-		gate.Reached(start, spent, ledger.Take(start, quota.Message{Router: "a", Sequence: sequence + 1, Spent: spent}))
+		spent := gate.TakeUnreported()
+		gate.ReportSucceeded(start, spent, ledger.Process(start, quota.Message{Router: "a", Sequence: sequence + 1, Spent: spent}))
 	}
 	require.Less(t, passed, 30)
-	reply := ledger.Take(start.Add(time.Hour), quota.Message{Router: "a", Sequence: 200, Wanted: map[string]int{tenant: 1, "other": 1}})
+	reply := ledger.Process(start.Add(time.Hour), quota.Message{Router: "a", Sequence: 200, Wanted: map[string]int{tenant: 1, "other": 1}})
 	require.Equal(t, map[string]bool{tenant: false}, reply.Metered, "the other tenant has no limit")
-	gate.Reached(start, nil, reply)
+	gate.ReportSucceeded(start, nil, reply)
 	decision, _ := gate.Admit(start, tenant)
 	require.Equal(t, quota.Pass, decision)
 }
@@ -302,7 +302,7 @@
 		f.partitioned = cut
 		f.run(10, detectionTimeout)
 		for _, gate := range f.gates[:cut] {
-			gate.Lose()
+			gate.SetIsolated()
 		}
 		f.run(70, 6*time.Second)
 		require.LessOrEqual(t, float64(f.maxInWindow()), f.allowed(), "%d isolated", cut)
@@ -337,14 +337,14 @@
 	wanted := map[string]int{tenant: 1}
 	for sequence, spent := range []int{0, 1, 40, 82, 145} {
 		overspent := quota.Message{Router: "a", Sequence: uint64(sequence + 1), Spent: map[string]int{tenant: spent}}
-		ledger.Take(start, overspent)
+		ledger.Process(start, overspent)
 	}
-	given := ledger.Take(start, quota.Message{Router: "b", Sequence: 1, Wanted: wanted}).Grants[tenant]
+	given := ledger.Process(start, quota.Message{Router: "b", Sequence: 1, Wanted: wanted}).Grants[tenant]
 	require.Zero(t, given.Granted)
 	require.LessOrEqual(t, given.Next, window+time.Second, "a window, and the time of one token at the limit's rate")
-	early := ledger.Take(start.Add(window-time.Millisecond), quota.Message{Router: "b", Sequence: 2, Wanted: wanted})
+	early := ledger.Process(start.Add(window-time.Millisecond), quota.Message{Router: "b", Sequence: 2, Wanted: wanted})
 	require.Zero(t, early.Grants[tenant].Granted, "no token in the window of the debt")
-	later := ledger.Take(start.Add(given.Next+time.Millisecond), quota.Message{Router: "b", Sequence: 3, Wanted: wanted})
+	later := ledger.Process(start.Add(given.Next+time.Millisecond), quota.Message{Router: "b", Sequence: 3, Wanted: wanted})
 	require.Equal(t, 1, later.Grants[tenant].Granted)
 }
 
@@ -353,7 +353,7 @@
 // were refused far below its limit as soon as routers were notified that it is metered.
 func TestANewTenantMayBurstAtOnce(t *testing.T) {
 	request := func(ledger *quota.Ledger, at time.Time) int {
-		return ledger.Take(at, quota.Message{Router: "a", Wanted: map[string]int{tenant: 100}}).Grants[tenant].Granted
+		return ledger.Process(at, quota.Message{Router: "a", Wanted: map[string]int{tenant: 100}}).Grants[tenant].Granted
 	}
 	limits := map[string]quota.Limit{tenant: {Rate: 1, Burst: 30}}
 	ledger := quota.NewLedger(tolerance)
@@ -374,8 +374,8 @@
 	ledger := quota.NewLedger(tolerance)
 	ledger.SetLimits(start, map[string]quota.Limit{tenant: {Rate: 1, Burst: 100}})
 	message := quota.Message{Router: "a", Sequence: 3, Spent: map[string]int{tenant: 2}}
-	ledger.Take(start, message)
-	ledger.Take(start, message)
+	ledger.Process(start, message)
+	ledger.Process(start, message)
 	require.Equal(t, uint64(2), ledger.Usage(start)[0].Spent)
 }
 
@@ -383,18 +383,18 @@
 	ledger := quota.NewLedger(quota.Tolerance{})
 	ledger.SetLimits(start, map[string]quota.Limit{tenant: {Rate: 2, Burst: 1}})
 	wanted := quota.Message{Router: "a", Sequence: 1, Wanted: map[string]int{tenant: 3, "other": 5}}
-	reply := ledger.Take(start, wanted)
+	reply := ledger.Process(start, wanted)
 	require.Equal(t, quota.Grant{Granted: 1, Next: 500 * time.Millisecond}, reply.Grants[tenant])
 	require.Equal(t, quota.Grant{Granted: 5}, reply.Grants["other"], "no limit")
 	gate := quota.NewGate(1)
 	gate.SetLimits(map[string]quota.Limit{tenant: {Rate: 2, Burst: 1}})
 	gate.SetMetered([]string{tenant})
-	gate.Reached(start, nil, reply)
+	gate.ReportSucceeded(start, nil, reply)
 	decision, after := gate.Admit(start.Add(200*time.Millisecond), tenant)
 	require.Equal(t, quota.Refuse, decision)
 	require.Equal(t, 300*time.Millisecond, after)
 	decision, _ = gate.Admit(start.Add(500*time.Millisecond), tenant)
-	require.Equal(t, quota.Ask, decision)
+	require.Equal(t, quota.RequestToken, decision)
 }
 
 // BenchmarkAdmit measures the decision about a request among 10,000 tenants.
--- a/internal/registry/cost_test.go
+++ b/internal/registry/cost_test.go
@@ -19,13 +19,13 @@
 			table.Report(now, Instance{ID: id, Service: "s", Address: id, Slots: 1, State: Ready})
 		}
 		before := table.Revision()
-		table.Leave("i-7")
+		table.MarkLeaving("i-7")
 		table.visited = 0
-		changed := table.Since(now, before)
+		changed := table.ChangedSince(now, before)
 		require.Len(t, changed, 1)
 		require.Equal(t, "i-7", changed[0].ID)
-		require.Empty(t, table.Since(now, table.Revision()))
+		require.Empty(t, table.ChangedSince(now, table.Revision()))
 		require.LessOrEqual(t, table.visited, 3, "of %d", servers)
-		require.Len(t, table.Since(now, 0), servers)
+		require.Len(t, table.ChangedSince(now, 0), servers)
 	}
 }
--- a/internal/registry/departure.go
+++ b/internal/registry/departure.go
@@ -8,15 +8,15 @@
 type NameDeparture struct {
 	Name string `json:"name"`
 	// The index of the departure in the group's log.
-	Before uint64 `json:"before"`
+	LogIndex uint64 `json:"before"`
 	// The start time of the departed incarnation by its own clock, in ms since 1970; 0 if not
 	// given.
-	Born int64 `json:"born,omitempty"`
+	StartedAt int64 `json:"born,omitempty"`
 }
 
 // appliesTo reports whether the departure applies to an incarnation.
 func (n NameDeparture) appliesTo(instance Instance) bool {
-	return instance.Since <= n.Before && (n.Born == 0 || instance.Born <= n.Born) && NameOf(instance.ID) == n.Name
+	return instance.KnownSinceIndex <= n.LogIndex && (n.StartedAt == 0 || instance.Born <= n.StartedAt) && NameOf(instance.ID) == n.Name
 }
 
 // subsumes reports whether another departure of the name adds nothing: this one applies to
@@ -24,10 +24,10 @@
 // first known after a departure started after it, also where that departure is reported
 // again.
 func (n NameDeparture) subsumes(other NameDeparture) bool {
-	if n.Born != 0 && n.Born == other.Born {
+	if n.StartedAt != 0 && n.StartedAt == other.StartedAt {
 		return true
 	}
-	return n.Before >= other.Before && (n.Born == 0 || other.Born != 0 && n.Born >= other.Born)
+	return n.LogIndex >= other.LogIndex && (n.StartedAt == 0 || other.StartedAt != 0 && n.StartedAt >= other.StartedAt)
 }
 
 // Departures holds the servers that left: incarnations by ID, and names. It keeps a bounded
@@ -94,20 +94,20 @@
 // HasName reports whether a server left, by its name.
 func (d *Departures) HasName(name string) bool { return len(d.byName[name]) > 0 }
 
-// Hold reports whether an instance left, by its ID or its name.
-func (d *Departures) Hold(instance Instance) bool {
+// Includes reports whether an instance left, by its ID or its name.
+func (d *Departures) Includes(instance Instance) bool {
 	if d.idSet[instance.ID] {
 		return true
 	}
 	return slices.ContainsFunc(d.byName[NameOf(instance.ID)], func(left NameDeparture) bool { return left.appliesTo(instance) })
 }
 
-// Doubts reports whether an instance was known before the departure of an incarnation of its
+// Suspects reports whether an instance was known before the departure of an incarnation of its
 // server that has an earlier start time. The clock may have been set back in between, so the
 // departed incarnation may have been the active one.
-func (d *Departures) Doubts(instance Instance) bool {
+func (d *Departures) Suspects(instance Instance) bool {
 	return slices.ContainsFunc(d.byName[NameOf(instance.ID)], func(left NameDeparture) bool {
-		return left.Born > 0 && left.Born < instance.Born && instance.Since <= left.Before
+		return left.StartedAt > 0 && left.StartedAt < instance.Born && instance.KnownSinceIndex <= left.LogIndex
 	})
 }
 
@@ -117,7 +117,7 @@
 // NamesAfter returns the departures of names above a log index, oldest first.
 func (d *Departures) NamesAfter(index uint64) []NameDeparture {
 	first := len(d.names)
-	for first > 0 && d.names[first-1].Before > index {
+	for first > 0 && d.names[first-1].LogIndex > index {
 		first--
 	}
 	return append([]NameDeparture(nil), d.names[first:]...)
--- a/internal/registry/incarnation.go
+++ b/internal/registry/incarnation.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// Starts returns the IDs of all known incarnations of a server, sorted.
-func (t *Table) Starts(name string) []string {
+// Incarnations returns the IDs of all known incarnations of a server, sorted.
+func (t *Table) Incarnations(name string) []string {
 	return slices.Sorted(maps.Keys(t.byName[name]))
 }
 
@@ -60,11 +60,11 @@
 // whose acknowledgement was lost.
 const departureRetryWindow = 15 * time.Second
 
-// Heard reports whether a departure of a server can refer to a known incarnation: one that has
+// MayDepart reports whether a departure of a server can refer to a known incarnation: one that has
 // not left, one that left and sent a heartbeat recently, or one that had done so when it left
 // and may repeat its departure. Entries that were only restored from the file of the table's
 // node do not count.
-func (t *Table) Heard(now time.Time, name string) bool {
+func (t *Table) MayDepart(now time.Time, name string) bool {
 	for _, known := range t.byName[name] {
 		if !known.instance.Restored && known.mayDepart(now, t.missingAfter) {
 			return true
@@ -78,6 +78,6 @@
 	return e.instance.State != Leaving || silent <= missingAfter || e.recentAtDeparture && silent <= departureRetryWindow
 }
 
-// KeepNames reports whether servers keep their names across restarts: some instance has a
+// StableNames reports whether servers keep their names across restarts: some instance has a
 // start time, or no instance is known.
-func (t *Table) KeepNames() bool { return t.withStartTime > 0 || len(t.entries) == 0 }
+func (t *Table) StableNames() bool { return t.withStartTime > 0 || len(t.entries) == 0 }
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -12,7 +12,7 @@
 // statesIn returns the state of each instance in a table.
 func statesIn(table *registry.Table, now time.Time) map[string]registry.State {
 	states := map[string]registry.State{}
-	for _, instance := range table.Since(now, 0) {
+	for _, instance := range table.ChangedSince(now, 0) {
 		states[instance.ID] = instance.State
 	}
 	return states
@@ -38,8 +38,8 @@
 			table.Refresh(now, registry.LifeID("i", 1), sequence+100)
 		}
 		require.Equal(t, map[string]registry.State{"i#1": registry.Missing, "i#2": registry.Ready}, statesIn(table, now), name)
-		require.Equal(t, []string{"i#1", "i#2"}, table.Starts("i"))
-		require.Empty(t, table.Starts("other"))
+		require.Equal(t, []string{"i#1", "i#2"}, table.Incarnations("i"))
+		require.Empty(t, table.Incarnations("other"))
 	}
 }
 
@@ -89,19 +89,19 @@
 	const forgetAfter = time.Minute
 	now := time.Unix(100, 0)
 	table := registry.New(5*time.Second, forgetAfter)
-	require.True(t, table.KeepNames(), "no instance is known")
+	require.True(t, table.StableNames(), "no instance is known")
 	require.True(t, table.Report(now, registry.Instance{ID: "bare", Address: "10.0.0.1:1", State: registry.Ready}))
-	require.False(t, table.KeepNames())
+	require.False(t, table.StableNames())
 	for startedAt := range int64(3) {
-		table.Report(now, registry.Instance{ID: registry.LifeID("i", startedAt+1), Born: startedAt + 1, Address: "10.0.0.1:2", State: registry.Ready, Since: uint64(startedAt) + 1})
+		table.Report(now, registry.Instance{ID: registry.LifeID("i", startedAt+1), Born: startedAt + 1, Address: "10.0.0.1:2", State: registry.Ready, KnownSinceIndex: uint64(startedAt) + 1})
 	}
-	require.Equal(t, []string{"i#1", "i#2", "i#3"}, table.Starts("i"))
-	require.Equal(t, []string{"bare"}, table.Starts("bare"))
-	require.True(t, table.KeepNames())
-	table.LeaveName(registry.NameDeparture{Name: "i", Before: 2})
+	require.Equal(t, []string{"i#1", "i#2", "i#3"}, table.Incarnations("i"))
+	require.Equal(t, []string{"bare"}, table.Incarnations("bare"))
+	require.True(t, table.StableNames())
+	table.MarkNameLeaving(registry.NameDeparture{Name: "i", LogIndex: 2})
 	require.Equal(t, map[string]registry.State{"bare": registry.Ready, "i#1": registry.Leaving, "i#2": registry.Leaving, "i#3": registry.Ready}, statesIn(table, now))
-	require.True(t, table.Heard(now, "i"))
+	require.True(t, table.MayDepart(now, "i"))
 	table.Expire(now.Add(2 * forgetAfter))
-	require.Empty(t, table.Starts("i"))
-	require.False(t, table.Heard(now, "i"))
+	require.Empty(t, table.Incarnations("i"))
+	require.False(t, table.MayDepart(now, "i"))
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -45,7 +45,7 @@
 	// Index of the first log entry that was not yet applied by the node that first learned of
 	// the instance: a departure of the server at that index or above came later. 0 if the node
 	// does not report it.
-	Since uint64 `json:"since,omitempty"`
+	KnownSinceIndex uint64 `json:"since,omitempty"`
 	// Restored says that the instance is only known from a table that its node restored after
 	// a restart, and that no heartbeat was received since.
 	Restored bool `json:"restored,omitempty"`
@@ -129,8 +129,8 @@
 		return true
 	}
 	known.instance.Restored = known.instance.Restored && instance.Restored
-	if instance.Since > 0 {
-		known.instance.Since = min(known.instance.Since, instance.Since)
+	if instance.KnownSinceIndex > 0 {
+		known.instance.KnownSinceIndex = min(known.instance.KnownSinceIndex, instance.KnownSinceIndex)
 	}
 	if instance.Sequence < known.instance.Sequence {
 		return false
@@ -234,17 +234,17 @@
 	}
 }
 
-// TakeReplaced returns and clears the replacements recorded since the last call. If there were
+// TakeReplacements returns and clears the replacements recorded since the last call. If there were
 // more than the limit, the later ones are lost.
-func (t *Table) TakeReplaced() []Replacement {
+func (t *Table) TakeReplacements() []Replacement {
 	taken := t.replacements
 	t.replacements = nil
 	return taken
 }
 
-// Leave marks an instance as leaving. If the instance is not known yet, nothing is kept: the
+// MarkLeaving marks an instance as leaving. If the instance is not known yet, nothing is kept: the
 // caller has to check each later report against the departures that it knows.
-func (t *Table) Leave(id string) bool {
+func (t *Table) MarkLeaving(id string) bool {
 	known, exists := t.entries[id]
 	if !exists || known.instance.State == Leaving {
 		return false
@@ -255,9 +255,9 @@
 	return true
 }
 
-// LeaveOthers marks all instances of a service with another version than the given one as
+// MarkOtherVersionsLeaving marks all instances of a service with another version than the given one as
 // leaving, after a rollout replaced them. It returns how many it marked.
-func (t *Table) LeaveOthers(service, version string) (marked int) {
+func (t *Table) MarkOtherVersionsLeaving(service, version string) (marked int) {
 	for _, known := range t.entries {
 		if known.instance.Service == service && known.instance.Version != version && known.instance.State != Leaving {
 			known.instance.State = Leaving
@@ -292,9 +292,9 @@
 	return t.revision != before
 }
 
-// Since returns the instances that changed after a revision, ordered by ID; revision 0 returns
+// ChangedSince returns the instances that changed after a revision, ordered by ID; revision 0 returns
 // all.
-func (t *Table) Since(now time.Time, revision uint64) []Instance {
+func (t *Table) ChangedSince(now time.Time, revision uint64) []Instance {
 	var changed []Instance
 	for place := t.changes.Front(); place != nil; place = place.Next() {
 		t.visited++
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -17,7 +17,7 @@
 }
 
 func stateOf(table *registry.Table, now time.Time, id string) registry.State {
-	for _, instance := range table.Since(now, 0) {
+	for _, instance := range table.ChangedSince(now, 0) {
 		if instance.ID == id {
 			return instance.State
 		}
@@ -32,8 +32,8 @@
 	for startedAt := range int64(2) {
 		table.Report(now, registry.Instance{ID: registry.LifeID("i", startedAt+1), Born: startedAt + 1, Address: "10.0.0.1:1", State: registry.Ready})
 	}
-	require.Equal(t, []registry.Replacement{{ID: "i#1", By: "i#2", Address: "10.0.0.1:1"}}, table.TakeReplaced())
-	require.Empty(t, table.TakeReplaced())
+	require.Equal(t, []registry.Replacement{{ID: "i#1", By: "i#2", Address: "10.0.0.1:1"}}, table.TakeReplacements())
+	require.Empty(t, table.TakeReplacements())
 }
 
 func TestLateHeartbeatDoesNotTakeLeavingBack(t *testing.T) {
@@ -64,7 +64,7 @@
 	require.True(t, table.Report(start.Add(7*time.Second), ready("a", "10.0.0.1:1", 2)))
 	require.Equal(t, registry.Ready, stateOf(table, start, "a"))
 	table.Expire(start.Add(2 * time.Minute))
-	require.Empty(t, table.Since(start, 0))
+	require.Empty(t, table.ChangedSince(start, 0))
 }
 
 func TestRefreshKeepsAServerAndBringsAMissingOneBack(t *testing.T) {
@@ -99,10 +99,10 @@
 		for _, report := range rapid.Permutation(reports).Draw(t, "order") {
 			shuffled.Report(start, report)
 		}
-		for _, report := range inOrder.Since(start, 0) {
+		for _, report := range inOrder.ChangedSince(start, 0) {
 			shuffled.Report(start, report)
 		}
-		require.Equal(t, inOrder.Since(start, 0)[0].State, shuffled.Since(start, 0)[0].State)
+		require.Equal(t, inOrder.ChangedSince(start, 0)[0].State, shuffled.ChangedSince(start, 0)[0].State)
 	})
 }
 
@@ -117,7 +117,7 @@
 	require.False(t, report(2, 0))
 	require.True(t, report(3, 3*time.Second), "the server turned cold")
 	require.False(t, report(4, 2*time.Second), "the end of the warm-up is known")
-	require.Equal(t, 2*time.Second, table.Since(now, 0)[0].WarmLeft)
+	require.Equal(t, 2*time.Second, table.ChangedSince(now, 0)[0].WarmLeft)
 }
 
 // TestHeartbeatThatComesLateDoesNotBringItsSenderBack delivers a heartbeat after another
@@ -130,7 +130,7 @@
 		table.Report(now, registry.Instance{ID: id, Service: "s-" + id, Address: "a", Slots: 2, State: registry.Ready, Sequence: sequence})
 	}
 	state := func(id string) registry.State {
-		for _, known := range table.Since(now, 0) {
+		for _, known := range table.ChangedSince(now, 0) {
 			if known.ID == id {
 				return known.State
 			}
--- a/internal/registry/succession.go
+++ b/internal/registry/succession.go
@@ -124,10 +124,10 @@
 	return max(t.minClaimTime, time.Duration(claimShare*float64(t.missingAfter)))
 }
 
-// ClaimAtLeast sets a lower bound for the time over which a replaced incarnation has to send
+// SetMinClaimTime sets a lower bound for the time over which a replaced incarnation has to send
 // heartbeats to become active. It must exceed the time that nodes take to forward heartbeats
 // that arrived at several of them at once.
-func (t *Table) ClaimAtLeast(minimum time.Duration) { t.minClaimTime = minimum }
+func (t *Table) SetMinClaimTime(minimum time.Duration) { t.minClaimTime = minimum }
 
 // incumbent returns the instance that takes precedence over a known one: the active
 // incarnation of its server, or the owner of its address; nil if there is none.
@@ -214,26 +214,26 @@
 	return e.instance.State == Ready && e.startedAfter(instance)
 }
 
-// LeaveName marks the incarnations of a server to which a departure applies as leaving. If the
+// MarkNameLeaving marks the incarnations of a server to which a departure applies as leaving. If the
 // departure names an incarnation that may have been active, incarnations known before it with
 // a later start time are deactivated, since the clock may have been set back in between.
-func (t *Table) LeaveName(departure NameDeparture) {
-	departed := t.byName[departure.Name][LifeID(departure.Name, departure.Born)]
-	inUse := departure.Born > 0 && (departed == nil || !departed.superseded)
+func (t *Table) MarkNameLeaving(departure NameDeparture) {
+	departed := t.byName[departure.Name][LifeID(departure.Name, departure.StartedAt)]
+	inUse := departure.StartedAt > 0 && (departed == nil || !departed.superseded)
 	for id, known := range t.byName[departure.Name] {
 		switch {
 		case departure.appliesTo(known.instance):
-			t.Leave(id)
-		case inUse && known.instance.Since <= departure.Before && known.instance.State != Leaving && !known.instance.Replaced:
+			t.MarkLeaving(id)
+		case inUse && known.instance.KnownSinceIndex <= departure.LogIndex && known.instance.State != Leaving && !known.instance.Replaced:
 			t.deactivate(known)
-			t.recordReplacement(known, LifeID(departure.Name, departure.Born))
+			t.recordReplacement(known, LifeID(departure.Name, departure.StartedAt))
 		}
 	}
 }
 
-// Former returns the IDs of the incarnations that the given one has superseded, whatever their
+// Superseded returns the IDs of the incarnations that the given one has superseded, whatever their
 // start times; none unless the given one is known and not superseded itself.
-func (t *Table) Former(id string) (superseded []string) {
+func (t *Table) Superseded(id string) (superseded []string) {
 	incarnations := t.byName[NameOf(id)]
 	if current := incarnations[id]; current == nil || current.superseded {
 		return nil
--- a/internal/registry/succession_test.go
+++ b/internal/registry/succession_test.go
@@ -37,26 +37,26 @@
 	s.sequences[startedAt]++
 	s.table.Report(s.now, registry.Instance{
 		ID: registry.LifeID(testName, startedAt), Born: startedAt, Service: "s", Address: address, Slots: 2, State: state,
-		Sequence: s.sequences[startedAt], Since: s.index + 1,
+		Sequence: s.sequences[startedAt], KnownSinceIndex: s.index + 1,
 	})
 }
 
 // depart applies the departure of an incarnation as a node does.
 func (s *harness) depart(startedAt int64) {
 	id := registry.LifeID(testName, startedAt)
-	former := s.table.Former(id)
+	former := s.table.Superseded(id)
 	s.index++
 	for _, left := range append(former, id) {
-		s.table.Leave(left)
+		s.table.MarkLeaving(left)
 	}
-	s.table.LeaveName(registry.NameDeparture{Name: testName, Before: s.index, Born: startedAt})
+	s.table.MarkNameLeaving(registry.NameDeparture{Name: testName, LogIndex: s.index, StartedAt: startedAt})
 }
 
 // active returns the start times of the incarnations that routers may send work to, by
 // address.
 func (s *harness) active() map[string][]int64 {
 	found := map[string][]int64{}
-	for _, known := range s.table.Since(s.now, 0) {
+	for _, known := range s.table.ChangedSince(s.now, 0) {
 		if known.State != registry.Leaving && !known.Replaced {
 			found[known.Address] = append(found[known.Address], known.Born)
 		}
@@ -241,12 +241,12 @@
 	s.table.Expire(s.now)
 	s.heartbeat(10, firstAddress, registry.Ready)
 	s.index++
-	s.table.LeaveName(registry.NameDeparture{Name: testName, Before: s.index})
+	s.table.MarkNameLeaving(registry.NameDeparture{Name: testName, LogIndex: s.index})
 	s.now = s.now.Add(testMissingAfter + time.Second)
 	s.table.Expire(s.now)
-	require.True(t, s.table.Heard(s.now, testName))
+	require.True(t, s.table.MayDepart(s.now, testName))
 	s.now = s.now.Add(testMissingAfter + 5*time.Second)
-	require.False(t, s.table.Heard(s.now, testName))
+	require.False(t, s.table.MayDepart(s.now, testName))
 }
 
 // TestHeartbeatsForwardedLateDoNotReactivateAnEarlierIncarnation guards against late
@@ -255,7 +255,7 @@
 func TestHeartbeatsForwardedLateDoNotReactivateAnEarlierIncarnation(t *testing.T) {
 	const forwardedWithin = 2 * testMissingAfter
 	s := newHarness()
-	s.table.ClaimAtLeast(forwardedWithin)
+	s.table.SetMinClaimTime(forwardedWithin)
 	s.heartbeat(20, firstAddress, registry.Ready)
 	s.heartbeat(10, firstAddress, registry.Ready)
 	s.depart(10)
@@ -293,7 +293,7 @@
 			state = registry.Leaving
 		}
 		s.table.Report(s.now, registry.Instance{
-			ID: registry.LifeID(testName, startedAt), Born: startedAt, Service: "s", Address: firstAddress, Slots: 2, State: state, Sequence: 3, Since: 5, Restored: true,
+			ID: registry.LifeID(testName, startedAt), Born: startedAt, Service: "s", Address: firstAddress, Slots: 2, State: state, Sequence: 3, KnownSinceIndex: 5, Restored: true,
 		})
 	}
 	s.depart(10)
--- a/internal/relay/cost_test.go
+++ b/internal/relay/cost_test.go
@@ -85,7 +85,7 @@
 		running.Go(func() { _ = routerFollower.Run(ctx) })
 	}
 	await := func(revision uint64) {
-		for root.RevisionInForce() < revision {
+		for root.ActiveRevision() < revision {
 			time.Sleep(time.Millisecond)
 		}
 	}
--- a/internal/relay/failure_test.go
+++ b/internal/relay/failure_test.go
@@ -84,7 +84,7 @@
 					require.True(t, valid)
 					require.Equal(t, revision, admitted)
 				}
-				require.Equal(t, revision, fleet.roots["control-1"].RevisionInForce())
+				require.Equal(t, revision, fleet.roots["control-1"].ActiveRevision())
 				require.Equal(t, []string{"relay-1"}, fleet.events["control-1"].details(journal.KindRelayLost))
 				cancel()
 				endRelay()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -82,7 +82,7 @@
 	}
 	relay.follower = upstreamFollower
 	relay.handler = follower.NewHandler(
-		follower.HandlerConfig{Name: config.Name, Lease: lease.DefaultDuration, OnProgress: upstreamFollower.Poke},
+		follower.HandlerConfig{Name: config.Name, Lease: lease.DefaultDuration, OnProgress: upstreamFollower.Interrupt},
 		follower.HandlerDeps{
 			Plans: relay, Authority: relay, Tables: relay.tables, Events: deps.Events,
 			Logger: deps.Logger, Registerer: deps.Registerer,
@@ -98,7 +98,7 @@
 
 // ActiveRevision returns the active revision of the followers: each of them
 // admits work under this revision or a higher one.
-func (r *Relay) ActiveRevision() uint64 { return r.handler.RevisionInForce() }
+func (r *Relay) ActiveRevision() uint64 { return r.handler.ActiveRevision() }
 
 // Run follows the upstream and serves followers until the context ends.
 func (r *Relay) Run(ctx context.Context) error {
@@ -179,7 +179,7 @@
 	if r.routes.Due(now, upstream.Address) {
 		request.Routes = r.handler.RouteReports()
 	}
-	request.SubtreeRevision = r.handler.RevisionInForce()
+	request.SubtreeRevision = r.handler.ActiveRevision()
 	lagging := request.GetSubtreeRevision() < request.GetRevision()
 	r.handler.UpdateTables(func(time.Time) { r.tables.report(now, upstream, lagging, request) })
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -25,10 +25,10 @@
 			fleet.startRouter(ctx, "router-3", "relay-1", "relay-2"),
 		}
 		time.Sleep(12 * time.Second)
-		require.EqualValues(t, 1, fleet.roots["control-1"].RevisionInForce())
+		require.EqualValues(t, 1, fleet.roots["control-1"].ActiveRevision())
 		revision := fleet.group.accept()
 		time.Sleep(time.Second)
-		require.Equal(t, revision, fleet.roots["control-1"].RevisionInForce())
+		require.Equal(t, revision, fleet.roots["control-1"].ActiveRevision())
 		for _, router := range routers {
 			admitted, valid := router.admits()
 			require.True(t, valid)
--- a/internal/remote/entry.go
+++ b/internal/remote/entry.go
@@ -99,8 +99,8 @@
 
 func (e *entry) needsProbe() bool { return (e.failing || e.suspected) && !e.probeInFlight }
 
-// Probed records the outcome of a probe.
-func (r *Region) Probed(now time.Time, address netip.AddrPort, reached bool) Change {
+// RecordProbe records the outcome of a probe.
+func (r *Region) RecordProbe(now time.Time, address netip.AddrPort, reached bool) Change {
 	probed := r.entry(address)
 	if probed == nil || !probed.probeInFlight {
 		return Unchanged
--- a/internal/remote/region.go
+++ b/internal/remote/region.go
@@ -49,9 +49,9 @@
 const (
 	// Answered: the entry answered, whatever the content of the answer.
 	Answered Outcome = iota + 1
-	// TurnedAway: the entry answered that it accepts no requests, because it is
+	// Rejected: the entry answered that it accepts no requests, because it is
 	// stopping or has no lease.
-	TurnedAway
+	Rejected
 	// NotConnected: the connection was refused, so nothing was sent.
 	NotConnected
 	// SlowConnect: no connection was made within the request's connect timeout, so
@@ -60,8 +60,8 @@
 	SlowConnect
 	// Broken: the connection ended without an answer.
 	Broken
-	// Silent: no answer came before the deadline.
-	Silent
+	// TimedOut: no answer came before the deadline.
+	TimedOut
 	// Abandoned: the caller canceled the request, which says nothing about the
 	// entry.
 	Abandoned
@@ -146,8 +146,8 @@
 	Accepted Refusal = iota
 	// Unreachable: every entry fails.
 	Unreachable
-	// Full: too many requests are in flight.
-	Full
+	// LimitReached: too many requests are in flight.
+	LimitReached
 )
 
 // Begin accepts or refuses a request. An accepted request must be ended by End.
@@ -156,7 +156,7 @@
 	case !r.Reachable():
 		return Unreachable
 	case r.inFlight >= r.config.Limit:
-		return Full
+		return LimitReached
 	default:
 		r.inFlight++
 		return Accepted
@@ -201,17 +201,17 @@
 	return suspected
 }
 
-// Asked is a request to an entry and its outcome.
-type Asked struct {
+// Attempt is a request to an entry and its outcome.
+type Attempt struct {
 	Entry   netip.AddrPort
 	Outcome Outcome
 	// Begun is the time at which the entry was chosen.
 	Begun time.Time
 }
 
-// Step records the outcome of a request. The outcome is ignored if the request
+// RecordOutcome records the outcome of a request. The outcome is ignored if the request
 // began before the entry last failed or recovered.
-func (r *Region) Step(now time.Time, attempt Asked) Change {
+func (r *Region) RecordOutcome(now time.Time, attempt Attempt) Change {
 	called := r.entry(attempt.Entry)
 	if called == nil {
 		return Unchanged
@@ -223,9 +223,9 @@
 	switch attempt.Outcome {
 	case Answered:
 		called.markRecovered(now)
-	case TurnedAway, NotConnected, Broken:
+	case Rejected, NotConnected, Broken:
 		r.markFailed(called, now)
-	case Silent:
+	case TimedOut:
 		if now.Sub(attempt.Begun) >= r.config.SilenceAfter && !r.config.NeverFail {
 			called.suspect(now)
 		}
--- a/internal/remote/region_test.go
+++ b/internal/remote/region_test.go
@@ -30,7 +30,7 @@
 	region         *Region
 	config         Config
 	now            time.Time
-	inFlight       []Asked
+	inFlight       []Attempt
 	probesInFlight []netip.AddrPort
 	reachable      bool
 }
@@ -55,7 +55,7 @@
 	case Unreachable:
 		require.Equal(w.t, inFlightBefore, w.region.InFlight())
 		return
-	case Full:
+	case LimitReached:
 		require.Equal(w.t, w.config.Limit, inFlightBefore)
 		return
 	}
@@ -74,10 +74,10 @@
 		require.False(w.t, state.Failing, "a failing entry got a request")
 		require.NotContains(w.t, tried, chosen, "an entry was called twice")
 		tried = append(tried, chosen)
-		attempt := Asked{Entry: chosen, Begun: w.now}
+		attempt := Attempt{Entry: chosen, Begun: w.now}
 		if rapid.Bool().Draw(w.t, "refused at once") {
 			attempt.Outcome = NotConnected
-			w.applyChange(w.region.Step(w.now, attempt))
+			w.applyChange(w.region.RecordOutcome(w.now, attempt))
 			continue
 		}
 		w.inFlight = append(w.inFlight, attempt)
@@ -103,8 +103,8 @@
 	index := rapid.IntRange(0, len(w.inFlight)-1).Draw(w.t, "request")
 	attempt := w.inFlight[index]
 	w.inFlight = slices.Delete(w.inFlight, index, index+1)
-	attempt.Outcome = rapid.SampledFrom([]Outcome{Answered, TurnedAway, NotConnected, SlowConnect, Broken, Silent, Abandoned}).Draw(w.t, "outcome")
-	w.applyChange(w.region.Step(w.now, attempt))
+	attempt.Outcome = rapid.SampledFrom([]Outcome{Answered, Rejected, NotConnected, SlowConnect, Broken, TimedOut, Abandoned}).Draw(w.t, "outcome")
+	w.applyChange(w.region.RecordOutcome(w.now, attempt))
 	w.region.End()
 }
 
@@ -122,7 +122,7 @@
 	address := w.probesInFlight[0]
 	w.probesInFlight = w.probesInFlight[1:]
 	reached := rapid.Bool().Draw(w.t, "reached")
-	w.applyChange(w.region.Probed(w.now, address, reached))
+	w.applyChange(w.region.RecordProbe(w.now, address, reached))
 	require.Equal(w.t, reached, !w.state(address).Failing, "the outcome of a probe was ignored")
 }
 
@@ -178,7 +178,7 @@
 func TestProbeBackoffDoublesUpToTheBound(t *testing.T) {
 	now := time.Unix(1000, 0)
 	region := New(Config{}, entryAddresses(1))
-	require.Equal(t, BecameUnreachable, region.Step(now, Asked{Entry: entryAddress(0), Outcome: NotConnected, Begun: now}))
+	require.Equal(t, BecameUnreachable, region.RecordOutcome(now, Attempt{Entry: entryAddress(0), Outcome: NotConnected, Begun: now}))
 	for failures := range 12 {
 		next, found := region.NextProbe()
 		require.True(t, found)
@@ -188,12 +188,12 @@
 		now = next
 		require.Len(t, region.DueProbes(now), 1)
 		require.Empty(t, region.DueProbes(now), "a second probe at once")
-		region.Probed(now, entryAddress(0), false)
+		region.RecordProbe(now, entryAddress(0), false)
 	}
 	now, _ = region.NextProbe()
 	region.DueProbes(now)
-	require.Equal(t, BecameReachable, region.Probed(now, entryAddress(0), true))
-	region.Step(now, Asked{Entry: entryAddress(0), Outcome: Broken, Begun: now})
+	require.Equal(t, BecameReachable, region.RecordProbe(now, entryAddress(0), true))
+	region.RecordOutcome(now, Attempt{Entry: entryAddress(0), Outcome: Broken, Begun: now})
 	next, _ := region.NextProbe()
 	require.LessOrEqual(t, next.Sub(now), DefaultFirstPause*5/4)
 }
@@ -205,7 +205,7 @@
 	now := time.Unix(1000, 0)
 	region := New(Config{}, entryAddresses(2))
 	silent := func(waited time.Duration) Change {
-		return region.Step(now, Asked{Entry: entryAddress(0), Outcome: Silent, Begun: now.Add(-waited)})
+		return region.RecordOutcome(now, Attempt{Entry: entryAddress(0), Outcome: TimedOut, Begun: now.Add(-waited)})
 	}
 	require.Equal(t, Unchanged, silent(time.Millisecond))
 	require.Empty(t, region.DueProbes(now))
@@ -219,7 +219,7 @@
 	require.True(t, found)
 	require.Equal(t, entryAddress(0), chosen)
 	require.Equal(t, []netip.AddrPort{entryAddress(0)}, region.DueProbes(now))
-	region.Probed(now, entryAddress(0), false)
+	region.RecordProbe(now, entryAddress(0), false)
 	_, found = region.Choose(0, []netip.AddrPort{entryAddress(1)})
 	require.False(t, found)
 }
@@ -232,10 +232,10 @@
 	now := begun.Add(time.Second)
 	region := New(Config{}, entryAddresses(1))
 	for range 300 {
-		region.Step(now, Asked{Entry: entryAddress(0), Outcome: Broken, Begun: begun})
+		region.RecordOutcome(now, Attempt{Entry: entryAddress(0), Outcome: Broken, Begun: begun})
 	}
 	require.Equal(t, 1, region.Entries()[0].Failures)
-	require.Equal(t, Unchanged, region.Step(now, Asked{Entry: entryAddress(0), Outcome: Answered, Begun: begun}))
+	require.Equal(t, Unchanged, region.RecordOutcome(now, Attempt{Entry: entryAddress(0), Outcome: Answered, Begun: begun}))
 	require.False(t, region.Reachable())
 }
 
@@ -244,7 +244,7 @@
 func TestUpdateKeepsEntryState(t *testing.T) {
 	now := time.Unix(1000, 0)
 	region := New(Config{}, entryAddresses(1))
-	region.Step(now, Asked{Entry: entryAddress(0), Outcome: NotConnected, Begun: now})
+	region.RecordOutcome(now, Attempt{Entry: entryAddress(0), Outcome: NotConnected, Begun: now})
 	require.Equal(t, BecameReachable, region.Update(entryAddresses(2)))
 	require.True(t, region.Entries()[0].Failing)
 	require.Equal(t, BecameUnreachable, region.Update(entryAddresses(1)))
@@ -258,7 +258,7 @@
 	const routers = 200
 	for seed := range uint64(routers) {
 		region := New(Config{Seed: seed}, entryAddresses(1))
-		region.Step(now, Asked{Entry: entryAddress(0), Outcome: NotConnected, Begun: now})
+		region.RecordOutcome(now, Attempt{Entry: entryAddress(0), Outcome: NotConnected, Begun: now})
 		next, _ := region.NextProbe()
 		times[next] = true
 	}
@@ -271,7 +271,7 @@
 	now := time.Unix(1000, 0)
 	region := New(Config{}, entryAddresses(3))
 	for _, number := range []int{1, 2} {
-		region.Step(now, Asked{Entry: entryAddress(number), Outcome: NotConnected, Begun: now})
+		region.RecordOutcome(now, Attempt{Entry: entryAddress(number), Outcome: NotConnected, Begun: now})
 	}
 	for offset := range uint64(6) {
 		for _, seed := range []uint64{offset, math.MaxUint64 - offset} {
@@ -287,7 +287,7 @@
 func TestSlowConnectOnlySuspectsTheEntry(t *testing.T) {
 	now := time.Unix(1000, 0)
 	region := New(Config{}, entryAddresses(1))
-	require.Equal(t, Unchanged, region.Step(now, Asked{Entry: entryAddress(0), Outcome: SlowConnect, Begun: now}))
+	require.Equal(t, Unchanged, region.RecordOutcome(now, Attempt{Entry: entryAddress(0), Outcome: SlowConnect, Begun: now}))
 	require.Equal(t, entryAddresses(1), region.DueProbes(now))
-	require.Equal(t, BecameUnreachable, region.Probed(now, entryAddress(0), false))
+	require.Equal(t, BecameUnreachable, region.RecordProbe(now, entryAddress(0), false))
 }
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -38,26 +38,26 @@
 	// Elapsed is the time since the roll-out started, Inside the time since its phase did, and
 	// Duration the time allowed for the whole roll-out.
 	Elapsed  time.Duration
-	Inside   time.Duration
+	InPhase  time.Duration
 	Duration time.Duration
 	Evidence Evidence
-	// Quiet reports that all reachable routers send to the new version only and that the old
+	// Drained reports that all reachable routers send to the new version only and that the old
 	// one has no calls in flight.
-	Quiet bool
+	Drained bool
 }
 
 // Step is the transition to another phase; the zero value keeps the present one.
 type Step struct {
-	Phase Phase
-	Why   string
+	Phase  Phase
+	Reason string
 }
 
 // Decide returns the next step of a running roll-out.
 func Decide(now Situation) Step {
 	if verdict := Judge(now.Evidence); verdict != nil {
-		return Step{Phase: RolledBack, Why: verdict.String()}
+		return Step{Phase: RolledBack, Reason: verdict.String()}
 	}
-	total := now.Evidence.Whole()
+	total := now.Evidence.Total()
 	shift := min(maxShift, max(minShift, time.Duration(shiftFraction*float64(now.Duration))))
 	ending := now.Elapsed >= now.Duration-endMargin
 	switch now.Phase {
@@ -66,25 +66,25 @@
 		case now.Elapsed < now.Duration-shift:
 			return Step{}
 		case total.New.Answers >= minAnswers:
-			return Step{Phase: Ramp, Why: "no mark of a bad version under the canary share"}
+			return Step{Phase: Ramp, Reason: "no mark of a bad version under the canary share"}
 		case ending:
-			return Step{Phase: RolledBack, Why: "too few answers of the new version to trust it"}
+			return Step{Phase: RolledBack, Reason: "too few answers of the new version to trust it"}
 		}
 	case Ramp:
-		if now.Inside >= time.Duration(rampFraction*float64(shift)) {
-			return Step{Phase: Shifted, Why: "no mark of a bad version in the ramp"}
+		if now.InPhase >= time.Duration(rampFraction*float64(shift)) {
+			return Step{Phase: Shifted, Reason: "no mark of a bad version in the ramp"}
 		}
 	case Shifted:
-		watched := now.Inside >= time.Duration(minWatchFraction*float64(shift))
-		if watched && now.Quiet || ending {
-			return Step{Phase: Done, Why: "no mark of a bad version under the whole load"}
+		watched := now.InPhase >= time.Duration(minWatchFraction*float64(shift))
+		if watched && now.Drained || ending {
+			return Step{Phase: Done, Reason: "no mark of a bad version under the whole load"}
 		}
 	}
 	return Step{}
 }
 
-// RuleOf returns the rule that routers follow in a phase.
-func RuleOf(target string, phase Phase, limits Limits) Rule {
+// RuleForPhase returns the rule that routers follow in a phase.
+func RuleForPhase(target string, phase Phase, limits Limits) Rule {
 	rule := Rule{Target: target, Phase: phase}
 	switch phase {
 	case Canary:
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// Whole returns the sum over all routes.
-func (e Evidence) Whole() Pair {
+// Total returns the sum over all routes.
+func (e Evidence) Total() Pair {
 	var total Pair
 	for _, pair := range e {
 		total.Old.add(pair.Old)
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -60,7 +60,7 @@
 // Judge returns why the new version is bad, or nil if there is not enough evidence of that. It
 // tests the sum of all routes and each route.
 func Judge(evidence Evidence) *Conviction {
-	total := evidence.Whole()
+	total := evidence.Total()
 	if found := judgePair("all", &total); found != nil {
 		return found
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -81,7 +81,7 @@
 		if at-changed >= delay/2 {
 			published = phase
 		}
-		rule := rollout.RuleOf("new", published, rollout.Limits{CanaryShare: canaryShare})
+		rule := rollout.RuleForPhase("new", published, rollout.Limits{CanaryShare: canaryShare})
 		batch := []func(){}
 		for range int(rate*tick.Seconds() + random.Float64()) {
 			result.all++
@@ -116,11 +116,11 @@
 			continue
 		}
 		next := rollout.Decide(rollout.Situation{
-			Phase: phase, Elapsed: at, Inside: at - began, Duration: duration, Evidence: evidence, Quiet: published == rollout.Shifted && at-changed > delay,
+			Phase: phase, Elapsed: at, InPhase: at - began, Duration: duration, Evidence: evidence, Drained: published == rollout.Shifted && at-changed > delay,
 		})
 		if next.Phase != "" {
 			phase, began, changed = next.Phase, at, at
-			result.phase, result.at, result.why = next.Phase, at, next.Why
+			result.phase, result.at, result.why = next.Phase, at, next.Reason
 		}
 	}
 	return result
@@ -232,5 +232,5 @@
 	sum := rollout.Evidence{}
 	sum.Add(evidence)
 	sum.Add(rollout.Evidence{"x": nil})
-	require.EqualValues(t, 1000, sum.Whole().Old.Answers)
+	require.EqualValues(t, 1000, sum.Total().Old.Answers)
 }
--- a/internal/router/admissions_test.go
+++ b/internal/router/admissions_test.go
@@ -88,7 +88,7 @@
 	t *testing.T, logger *logrus.Logger, source router.ConfigSource, admitted *admissionrecord.Summary, wrap func(router.Engine) router.Engine,
 ) (*router.Router, context.Context) {
 	metrics := prometheus.NewRegistry()
-	served := router.New(router.Config{Name: "router-1", Zone: "a", Boot: 1, Alone: true, ProbeInterval: 10 * time.Millisecond}, router.Dependencies{
+	served := router.New(router.Config{Name: "router-1", Zone: "a", Boot: 1, Standalone: true, ProbeInterval: 10 * time.Millisecond}, router.Dependencies{
 		Logger: logger, Registerer: metrics, Claims: router.NewLocalClaims(), Events: router.EventLog{Logger: logger},
 		Backends: backend.New(backend.Config{Zone: "a"}, backend.Dependencies{Logger: logger, Registerer: metrics}),
 		Source:   source, Admissions: admitted,
--- a/internal/router/cells.go
+++ b/internal/router/cells.go
@@ -30,7 +30,7 @@
 // changed. It is called from the configuration source's goroutine.
 func (r *Router) updatePeerCells(installed *plan.Plan) {
 	peers := r.peers.Load()
-	if peers == nil || r.config.Alone {
+	if peers == nil || r.config.Standalone {
 		return
 	}
 	byName := lo.KeyBy(*peers, func(peer Peer) string { return peer.Name })
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -45,9 +45,9 @@
 	CancelTimeout time.Duration
 	// RefusalRetryAfter is the RetryAfter hint of refusals.
 	RefusalRetryAfter time.Duration
-	// Alone means that no other router connects to the back ends, so that this one
+	// Standalone means that no other router connects to the back ends, so that this one
 	// uses their complete limits.
-	Alone bool
+	Standalone bool
 	// ShareDelay is how long after a change of the list of live routers a bigger share
 	// of connections takes effect; see package cell. It must be longer than a lease
 	// plus the time for which connections are kept after the lease, a quarter of this
@@ -55,8 +55,8 @@
 	ShareDelay time.Duration
 	// Regions limits the requests to each other region.
 	Regions remote.Config
-	// ReachTimeout bounds one probe of another region's entry router.
-	ReachTimeout time.Duration
+	// RegionProbeTimeout bounds one probe of another region's entry router.
+	RegionProbeTimeout time.Duration
 }
 
 // Defaults of Config.
@@ -83,7 +83,7 @@
 	c.ProbeTimeout = cmp.Or(c.ProbeTimeout, DefaultProbeTimeout)
 	c.CancelTimeout = cmp.Or(c.CancelTimeout, DefaultCancelTimeout)
 	c.RefusalRetryAfter = cmp.Or(c.RefusalRetryAfter, DefaultRefusalRetryAfter)
-	c.ReachTimeout = cmp.Or(c.ReachTimeout, DefaultRegionProbeTimeout)
+	c.RegionProbeTimeout = cmp.Or(c.RegionProbeTimeout, DefaultRegionProbeTimeout)
 	c.ShareDelay = cmp.Or(c.ShareDelay, DefaultShareDelay)
 	return c
 }
@@ -91,10 +91,10 @@
 // probing returns the pauses of the prober.
 func (c Config) probing() probing.Config {
 	return probing.Config{
-		Interval:   c.ProbeInterval,
-		IdlePause:  c.ProbeIdlePause,
-		HeardPause: c.ProbeHeardPause,
-		DownPause:  c.ProbeDownPause,
+		Interval:      c.ProbeInterval,
+		IdlePause:     c.ProbeIdlePause,
+		ObservedPause: c.ProbeHeardPause,
+		DownPause:     c.ProbeDownPause,
 	}
 }
 
--- a/internal/router/cost_test.go
+++ b/internal/router/cost_test.go
@@ -274,7 +274,7 @@
 
 func benchmarkRouter(b *testing.B, addresses []netip.AddrPort, merge plan.Merge) {
 	client, registry, logger := newCostClient(b)
-	served := router.New(router.Config{Name: "router", Zone: "a", Boot: 1, Alone: true}, router.Dependencies{
+	served := router.New(router.Config{Name: "router", Zone: "a", Boot: 1, Standalone: true}, router.Dependencies{
 		Logger: logger, Registerer: registry, Backends: client, Claims: router.NewLocalClaims(),
 		Events: router.EventLog{Logger: logger}, Source: &router.StaticSource{Plan: costPlan(addresses, merge)},
 		NewEngine: func(int) router.Engine { return query.New(query.Config{Zone: "a"}) },
--- a/internal/router/engine_loop.go
+++ b/internal/router/engine_loop.go
@@ -173,11 +173,11 @@
 		l.settleClaim(typed)
 	case query.Respond:
 		l.respond(typed)
-	case query.Wake:
+	case query.SetTimer:
 		l.setTimer(typed.At)
 	case query.Warm:
 		l.router.warmer.enqueue(typed)
-	case query.Observed:
+	case query.PublishMachineState:
 		l.router.source.Observe(typed.Address, typed.State)
 	case query.Record:
 		l.router.record(typed.Event)
--- a/internal/router/installation.go
+++ b/internal/router/installation.go
@@ -44,17 +44,17 @@
 // the complete fleet at every start.
 func (r *Router) ownedPlan(full *plan.Plan) *plan.Plan {
 	switch {
-	case r.config.Alone:
+	case r.config.Standalone:
 		return full
 	case r.peers.Load() == nil:
 		return &plan.Plan{}
 	default:
-		return r.cells.Own(full, r.config.Name)
+		return r.cells.LocalPlan(full, r.config.Name)
 	}
 }
 
 // cellsKnown reports whether the router knows which services it serves.
-func (r *Router) cellsKnown() bool { return r.config.Alone || r.peerCells.Load() != nil }
+func (r *Router) cellsKnown() bool { return r.config.Standalone || r.peerCells.Load() != nil }
 
 // replaceInstallation replaces the installed configuration. It is called from the
 // configuration source's goroutine.
@@ -141,7 +141,7 @@
 
 // cellSize returns how many routers use the back ends of a service.
 func (r *Router) cellSize(service *plan.Service) int {
-	if r.config.Alone {
+	if r.config.Standalone {
 		return 1
 	}
 	return len(r.cells.Members(service.Name, service.CellRouters))
--- a/internal/router/options.go
+++ b/internal/router/options.go
@@ -81,7 +81,7 @@
 		Name:          o.Name,
 		Zone:          o.Zone,
 		Boot:          boot,
-		Alone:         o.PolicyFile != "",
+		Standalone:    o.PolicyFile != "",
 		Engines:       o.Engines,
 		AdmissionRing: o.Admission,
 		MaxRequests:   o.MaxRequests,
@@ -122,6 +122,6 @@
 // out.
 func (o *Options) healthLifetime() time.Duration {
 	const probes = 2
-	idle := probing.Longest(max(o.ProbeIdle, o.ProbeInterval))
+	idle := probing.MaxWithJitter(max(o.ProbeIdle, o.ProbeInterval))
 	return max(idle+o.ProbeTimeout, probes*(o.ProbeInterval+o.ProbeTimeout))
 }
--- a/internal/router/prober.go
+++ b/internal/router/prober.go
@@ -218,7 +218,7 @@
 // others changed.
 func (p *prober) machineReported(address netip.AddrPort) {
 	if loop := p.loopFor(address); loop != nil {
-		loop.updateSchedule(func() { loop.schedule.Watch(steadyclock.Now()) })
+		loop.updateSchedule(func() { loop.schedule.ProbeClosely(steadyclock.Now()) })
 	}
 }
 
@@ -262,7 +262,7 @@
 func (l *probeLoop) probed(observed query.HealthObserved) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.schedule.Probed(probing.ProbeOf(observed, steadyclock.Now()))
+	l.schedule.ObserveProbe(probing.ProbeOf(observed, steadyclock.Now()))
 	l.refillAt = time.Time{}
 }
 
@@ -271,7 +271,7 @@
 func (l *probeLoop) skipped() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.schedule.Skipped(steadyclock.Now())
+	l.schedule.ProbeSkipped(steadyclock.Now())
 }
 
 func (l *probeLoop) refilled() {
@@ -285,7 +285,7 @@
 // after it.
 func (l *probeLoop) attemptFinished(outcome query.Event, sent, now time.Time, pause time.Duration) {
 	l.updateSchedule(func() {
-		l.schedule.Heard(probing.ReplyOf(outcome, sent, now))
+		l.schedule.ObserveReply(probing.ReplyOf(outcome, sent, now))
 		failed, isFailure := outcome.(query.AttemptFailed)
 		if isFailure && failed.Verdict != verdict.NotRun && l.refillAt.IsZero() {
 			l.refillAt = now.Add(pause)
--- a/internal/router/region_probes.go
+++ b/internal/router/region_probes.go
@@ -50,7 +50,7 @@
 }
 
 func (s *regions) probe(ctx context.Context, name string, entry netip.AddrPort) {
-	bounded, cancel := context.WithTimeout(ctx, s.router.config.ReachTimeout)
+	bounded, cancel := context.WithTimeout(ctx, s.router.config.RegionProbeTimeout)
 	defer cancel()
 	err := s.caller.Reach(bounded, entry)
 	result := "reached"
@@ -61,7 +61,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if region, found := s.known[name]; found {
-		s.report(name, region.Probed(steadyclock.Now(), entry, err == nil))
+		s.report(name, region.RecordProbe(steadyclock.Now(), entry, err == nil))
 	}
 	s.notifyProber()
 }
--- a/internal/router/regions.go
+++ b/internal/router/regions.go
@@ -22,13 +22,13 @@
 type RegionCaller interface {
 	// Cross sends a request to an entry router. The context's deadline bounds the
 	// call; connecting is given up well before.
-	Cross(ctx context.Context, entry netip.AddrPort, request Request) Crossing
+	Cross(ctx context.Context, entry netip.AddrPort, request Request) ForwardResult
 	// Reach returns nil if the entry router accepts requests. It runs nothing.
 	Reach(ctx context.Context, entry netip.AddrPort) error
 }
 
-// Crossing is the outcome of a request that was sent to an entry router.
-type Crossing struct {
+// ForwardResult is the outcome of a request that was sent to an entry router.
+type ForwardResult struct {
 	Answer  query.Answer
 	Outcome remote.Outcome
 }
@@ -143,7 +143,7 @@
 	switch region.Begin() {
 	case remote.Unreachable:
 		return nil, s.refuseUnreachable(route, region, "every entry router fails")
-	case remote.Full:
+	case remote.LimitReached:
 		return nil, s.router.refusal(verdict.ReasonOverloaded, "too many requests are on their way to region "+route.Region)
 	}
 	outgoing := &regionRequest{regions: s, route: route, region: region}
@@ -190,7 +190,7 @@
 			break
 		}
 		result := r.caller.Cross(ctx, entry, request)
-		r.recordOutcome(remote.Asked{Entry: entry, Outcome: result.Outcome, Begun: started})
+		r.recordOutcome(remote.Attempt{Entry: entry, Outcome: result.Outcome, Begun: started})
 		last = result.Answer
 		ran = verdict.Combine(ran, last.Verdict)
 		if ctx.Err() != nil || !mayTryNextRouter(last, !r.route.Repeatable) {
@@ -216,10 +216,10 @@
 	return r.region.Choose(xxhash.Sum64String(request.CallerID), tried)
 }
 
-func (r *regionRequest) recordOutcome(asked remote.Asked) {
+func (r *regionRequest) recordOutcome(asked remote.Attempt) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	change := r.region.Step(steadyclock.Now(), asked)
+	change := r.region.RecordOutcome(steadyclock.Now(), asked)
 	if !r.isCurrent() {
 		return
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -224,7 +224,7 @@
 		}
 		return answer
 	case <-ctx.Done():
-		owner.pushOutcome(query.CallerGone{Request: id})
+		owner.pushOutcome(query.CallerDisconnected{Request: id})
 		return canceledAnswer()
 	case <-owner.exited:
 		return query.Answer{Verdict: verdict.MayHaveRun,
--- a/internal/router/shares.go
+++ b/internal/router/shares.go
@@ -53,7 +53,7 @@
 func (m *shareManager) installPlan(installed *installation, cells *cell.Cells) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.ledger.Outside(m.newlyOwned(installed.own))
+	m.ledger.MarkJoining(m.newlyOwned(installed.own))
 	m.plan, m.own, m.cells = installed.plan, installed.own, cells
 	m.targets = m.router.probeTargets(installed.own)
 	m.refresh(steadyclock.Now())
@@ -112,7 +112,7 @@
 	if m.plan == nil {
 		return
 	}
-	if !m.lapsed && !m.router.config.Alone {
+	if !m.lapsed && !m.router.config.Standalone {
 		m.ledger.Install(now, m.cells.Shares(m.plan, m.router.config.Name))
 	}
 	m.apply(now)
@@ -148,9 +148,9 @@
 	case m.plan == nil:
 		return nil, time.Time{}
 	case m.lapsed:
-		return lo.MapValues(cell.Whole(m.own), func(cell.Share, netip.AddrPort) cell.Share { return cell.Share{} }), time.Time{}
-	case m.router.config.Alone:
-		return cell.Whole(m.plan), time.Time{}
+		return lo.MapValues(cell.Limits(m.own), func(cell.Share, netip.AddrPort) cell.Share { return cell.Share{} }), time.Time{}
+	case m.router.config.Standalone:
+		return cell.Limits(m.plan), time.Time{}
 	default:
 		return m.ledger.Effective(now)
 	}
--- a/internal/router/start_test.go
+++ b/internal/router/start_test.go
@@ -32,7 +32,7 @@
 		started := make([]*router.Router, together)
 		for index := range started {
 			registry := prometheus.NewRegistry()
-			started[index] = router.New(router.Config{Name: "router", Boot: 1, Alone: true, Engines: 1}, router.Dependencies{
+			started[index] = router.New(router.Config{Name: "router", Boot: 1, Standalone: true, Engines: 1}, router.Dependencies{
 				Logger: logger, Registerer: registry, Claims: router.NewLocalClaims(), Events: router.EventLog{Logger: logger},
 				Backends:  backend.New(backend.Config{}, backend.Dependencies{Logger: logger, Registerer: registry}),
 				Source:    &router.StaticSource{Plan: &plan.Plan{}},
--- a/internal/scatter/budget_test.go
+++ b/internal/scatter/budget_test.go
@@ -24,8 +24,8 @@
 		gatherers := rapid.IntRange(0, routers).Draw(t, "gatherers")
 		start := func(index int) *harness {
 			h := newHarness(t, limits)
-			h.step(scatter.RoutersCounted{Count: routers})
-			h.step(scatter.GatherersCounted{Gatherers: map[string]scatter.Gatherers{
+			h.step(scatter.RoutersChanged{Count: routers})
+			h.step(scatter.GatherersChanged{Gatherers: map[string]scatter.Gatherers{
 				"s": {Count: gatherers, Self: index < gatherers},
 			}})
 			h.servers("s", 3)
@@ -83,8 +83,8 @@
 	const routers, gatherers = 16, 4
 	hedges := func(self bool) int {
 		h := newHarness(t, scatter.BudgetLimits{Ratio: 0.2, Slack: 56})
-		h.step(scatter.RoutersCounted{Count: routers})
-		h.step(scatter.GatherersCounted{Gatherers: map[string]scatter.Gatherers{"s": {Count: gatherers, Self: self}}})
+		h.step(scatter.RoutersChanged{Count: routers})
+		h.step(scatter.GatherersChanged{Gatherers: map[string]scatter.Gatherers{"s": {Count: gatherers, Self: self}}})
 		h.servers("s", 8)
 		h.arrive(singleRoute(true))
 		h.take()
@@ -111,9 +111,9 @@
 func TestConnectionsAreSharedByGatherers(t *testing.T) {
 	inFlight := func(gatherers scatter.Gatherers) int {
 		h := newHarness(t, ampleBudget)
-		h.step(scatter.RoutersCounted{Count: 64})
+		h.step(scatter.RoutersChanged{Count: 64})
 		h.step(scatter.DocumentChanged{Services: []routing.Service{{Name: "s", MaxConnections: 54}}})
-		h.step(scatter.GatherersCounted{Gatherers: map[string]scatter.Gatherers{"s": gatherers}})
+		h.step(scatter.GatherersChanged{Gatherers: map[string]scatter.Gatherers{"s": gatherers}})
 		h.servers("s", 1)
 		for range 10 {
 			h.arrive(singleRoute(false))
--- a/internal/scatter/choice.go
+++ b/internal/scatter/choice.go
@@ -19,7 +19,7 @@
 func (g *group) choose(now time.Time, c *call, view choiceView) (*server, availability) {
 	found := choice{localCost: math.Inf(1)}
 	for _, candidate := range g.servers {
-		if !candidate.usable() || c.hasTried(candidate) || view.evacuated.Empty(now, candidate.Zone, candidate.Service) || !view.rule.Allows(view.side, candidate.Version) {
+		if !candidate.usable() || c.hasTried(candidate) || view.evacuated.Evacuated(now, candidate.Zone, candidate.Service) || !view.rule.Allows(view.side, candidate.Version) {
 			continue
 		}
 		if candidate.coldLimited(now, view.cold) {
--- a/internal/scatter/claims_test.go
+++ b/internal/scatter/claims_test.go
@@ -16,7 +16,7 @@
 	route := gatherRoute("s")
 	h.step(scatter.Arrived{
 		ID: h.last, Route: route, Services: route.Shards, Deadline: h.now.Add(route.Timeout), Due: h.now.Add(route.Target),
-		Earlier: earlier, Claims: true,
+		PriorAttempts: earlier, ClaimExtras: true,
 	})
 	return h.last
 }
--- a/internal/scatter/cold.go
+++ b/internal/scatter/cold.go
@@ -10,8 +10,8 @@
 // ColdLimits bound the requests to a cold server in any second, over all routers, to the
 // service's rate × Over + Slack.
 type ColdLimits struct {
-	Over  float64
-	Slack float64
+	RateFactor float64
+	Slack      float64
 }
 
 // coldRateShare is the share of a cold server's rate that routers use. The rest covers
@@ -41,7 +41,7 @@
 		}
 		count, rank = gathering.Count, gathering.Rank
 	}
-	spare := g.coldRate*(e.config.Cold.Over-coldRateShare) + e.config.Cold.Slack
+	spare := g.coldRate*(e.config.Cold.RateFactor-coldRateShare) + e.config.Cold.Slack
 	sharing := max(1, min(count, int(math.Floor(spare))))
 	// The rotation starts at another router for each service, so that no router has a share of
 	// all.
--- a/internal/scatter/cold_test.go
+++ b/internal/scatter/cold_test.go
@@ -34,15 +34,15 @@
 func TestColdServersStayWithinTheirRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.SampledFrom([]float64{2, 8, 25, 100}).Draw(t, "rate")
-		limits := scatter.ColdLimits{Over: 1.5, Slack: 5}
+		limits := scatter.ColdLimits{RateFactor: 1.5, Slack: 5}
 		count := rapid.IntRange(1, 80).Draw(t, "routers")
 		gathering := rapid.IntRange(0, count).Draw(t, "gathering")
 		var routers []*harness
 		for number := range count {
 			router := coldHarness(t, rate, limits)
-			router.step(scatter.RoutersCounted{Count: count, Rank: number})
+			router.step(scatter.RoutersChanged{Count: count, Rank: number})
 			if gathering > 0 {
-				router.step(scatter.GatherersCounted{Gatherers: map[string]scatter.Gatherers{
+				router.step(scatter.GatherersChanged{Gatherers: map[string]scatter.Gatherers{
 					"s": {Count: gathering, Self: number < gathering, Rank: number},
 				}})
 			}
@@ -66,13 +66,13 @@
 		}
 		for number := range 120 {
 			from := time.Duration(number) * tick
-			require.LessOrEqual(t, float64(within(sent, from, time.Second)), rate*limits.Over+limits.Slack, "from %v", from)
+			require.LessOrEqual(t, float64(within(sent, from, time.Second)), rate*limits.RateFactor+limits.Slack, "from %v", from)
 		}
 	})
 }
 
 func TestColdServerGetsSomethingAndTheRestGoesElsewhere(t *testing.T) {
-	h := coldHarness(t, 10, scatter.ColdLimits{Over: 1.5, Slack: 5})
+	h := coldHarness(t, 10, scatter.ColdLimits{RateFactor: 1.5, Slack: 5})
 	h.cold("cold", time.Minute)
 	h.servers("s", 1)
 	count := map[string]int{}
@@ -95,7 +95,7 @@
 }
 
 func TestRequestBeyondTheColdRateIsRefusedAtOnce(t *testing.T) {
-	h := coldHarness(t, 10, scatter.ColdLimits{Over: 1.5, Slack: 5})
+	h := coldHarness(t, 10, scatter.ColdLimits{RateFactor: 1.5, Slack: 5})
 	h.cold("cold", time.Minute)
 	id := h.arrive(singleRoute(true))
 	require.Equal(t, verdict.NotRun, h.result(id).Verdict)
@@ -103,7 +103,7 @@
 }
 
 func TestServerThatReportsThatItIsColdIsLimited(t *testing.T) {
-	h := coldHarness(t, 2, scatter.ColdLimits{Over: 1, Slack: 0})
+	h := coldHarness(t, 2, scatter.ColdLimits{RateFactor: 1, Slack: 0})
 	h.servers("s", 2)
 	h.advance(time.Second)
 	outcome := good("x")
--- a/internal/scatter/decide.go
+++ b/internal/scatter/decide.go
@@ -112,7 +112,7 @@
 		e.timers.add(timer{at: from.fullUntil, kind: timerCapacity, service: from.Service})
 	case OtherInstance:
 		from.misdirected = true
-		e.emit(Noted{Server: from.Server, Belief: "server_replaced"})
+		e.emit(LogServer{Server: from.Server, Event: "server_replaced"})
 	case Aborted:
 		e.histogram(route).Observe(e.now, took)
 		from.recordPace(e.now, e.ratio(route, took))
@@ -155,7 +155,7 @@
 	ended.server.recordFailure(e.now, ended.started)
 	ended.server.connectFailed = failure == NotConnected
 	if ended.server.suspectUntil != before {
-		e.emit(Noted{Server: ended.server.Server, Belief: "server_suspected", Detail: detail})
+		e.emit(LogServer{Server: ended.server.Server, Event: "server_suspected", Detail: detail})
 	}
 }
 
--- a/internal/scatter/engine.go
+++ b/internal/scatter/engine.go
@@ -83,15 +83,15 @@
 			e.updateServer(update)
 		}
 		e.dispatchWaiting()
-	case ServersGone:
+	case ServersRemoved:
 		for _, id := range event.IDs {
 			e.removeServer(id)
 		}
 	case DocumentChanged:
 		e.updateServices(event.Services)
-	case RoutersCounted:
+	case RoutersChanged:
 		e.routers, e.rank = max(1, event.Count), event.Rank
-	case GatherersCounted:
+	case GatherersChanged:
 		e.setGatherers(event.Gatherers)
 	case ZonesEvacuated:
 		e.evacuated = event.View
@@ -163,12 +163,12 @@
 		e.servers[update.ID] = added
 		grp := e.group(update.Service)
 		grp.servers = append(grp.servers, added)
-		e.emit(Noted{Server: update, Belief: "server_known"})
+		e.emit(LogServer{Server: update, Event: "server_known"})
 		return
 	}
-	update.Leaving = update.Leaving || known.Leaving
-	if update.Leaving != known.Leaving || update.Missing != known.Missing || update.Replaced != known.Replaced {
-		e.emit(Noted{Server: update, Belief: "server_changed", Detail: known.recentWork(e.now)})
+	update.Draining = update.Draining || known.Draining
+	if update.Draining != known.Draining || update.Missing != known.Missing || update.Replaced != known.Replaced {
+		e.emit(LogServer{Server: update, Event: "server_changed", Detail: known.recentWork(e.now)})
 	}
 	known.missingLogged = known.missingLogged && update.Missing
 	known.Server = update
@@ -180,7 +180,7 @@
 	if !exists {
 		return
 	}
-	known.Leaving = true
+	known.Draining = true
 	delete(e.servers, id)
 	grp := e.group(known.Service)
 	for index, member := range grp.servers {
@@ -189,7 +189,7 @@
 			break
 		}
 	}
-	e.emit(Noted{Server: known.Server, Belief: "server_forgotten", Detail: known.recentWork(e.now)})
+	e.emit(LogServer{Server: known.Server, Event: "server_forgotten", Detail: known.recentWork(e.now)})
 }
 
 func (e *Engine) updateServices(services []routing.Service) {
--- a/internal/scatter/engine_test.go
+++ b/internal/scatter/engine_test.go
@@ -44,7 +44,7 @@
 	h := newHarness(t, scatter.BudgetLimits{})
 	h.servers("x", 1)
 	route := gatherRoute("x")
-	h.step(scatter.Arrived{ID: 77, Route: route, Services: []string{"x"}, Deadline: h.now.Add(time.Second), Earlier: 1})
+	h.step(scatter.Arrived{ID: 77, Route: route, Services: []string{"x"}, Deadline: h.now.Add(time.Second), PriorAttempts: 1})
 	require.Empty(t, h.take(), "sent without a token although another router may have sent an attempt")
 	// A new server must not make up for the missing token.
 	h.servers("x", 2)
@@ -138,7 +138,7 @@
 func TestDrainingOrRemovedServerGetsNothing(t *testing.T) {
 	h := newHarness(t, ampleBudget)
 	h.servers("s", 2)
-	h.step(scatter.ServersChanged{Servers: []scatter.Server{{ID: "s/0", Service: "s", Address: "s/0", Slots: 2, Leaving: true}}})
+	h.step(scatter.ServersChanged{Servers: []scatter.Server{{ID: "s/0", Service: "s", Address: "s/0", Slots: 2, Draining: true}}})
 	for range 4 {
 		h.arrive(singleRoute(true))
 	}
@@ -146,7 +146,7 @@
 		require.Equal(t, "s/1", send.Server.ID)
 	}
 	h.step(scatter.ServersChanged{Servers: []scatter.Server{{ID: "s/0", Service: "s", Address: "s/0", Slots: 2}}})
-	h.step(scatter.ServersGone{IDs: []string{"s/1"}})
+	h.step(scatter.ServersRemoved{IDs: []string{"s/1"}})
 	h.arrive(singleRoute(true))
 	require.Empty(t, h.take(), "a later report revoked the departure")
 }
@@ -177,7 +177,7 @@
 	h.end(sent[0], good("late"))
 	require.NotNil(t, h.result(early).Reply)
 
-	h.step(scatter.ServersGone{IDs: []string{"s/0"}})
+	h.step(scatter.ServersRemoved{IDs: []string{"s/0"}})
 	never := h.arrive(route)
 	h.advance(1100 * time.Millisecond)
 	require.Equal(t, verdict.NotRun, h.result(never).Verdict)
@@ -280,7 +280,7 @@
 	h := newHarness(t, ampleBudget)
 	h.servers("x", 3)
 	route := gatherRoute("x")
-	h.step(scatter.Arrived{ID: 1, Route: route, Services: route.Shards, Deadline: h.now.Add(time.Second), Earlier: 2})
+	h.step(scatter.Arrived{ID: 1, Route: route, Services: route.Shards, Deadline: h.now.Add(time.Second), PriorAttempts: 2})
 	require.Empty(t, h.take())
 	require.Equal(t, []int{0}, h.result(1).Missing)
 }
@@ -293,7 +293,7 @@
 		h.servers("s", 4)
 		route := gatherRoute("s")
 		route.MaxAttempts = attempts
-		h.step(scatter.Arrived{ID: 1, Route: route, Services: route.Shards, Deadline: h.now.Add(time.Second), Earlier: 1})
+		h.step(scatter.Arrived{ID: 1, Route: route, Services: route.Shards, Deadline: h.now.Add(time.Second), PriorAttempts: 1})
 		for range 4 {
 			for _, send := range h.take() {
 				want--
@@ -308,7 +308,7 @@
 func TestAttemptsStayWithinTheShareOfConnections(t *testing.T) {
 	h := newHarness(t, ampleBudget)
 	h.step(scatter.DocumentChanged{Services: []routing.Service{{Name: "s", MaxConnections: 10}}})
-	h.step(scatter.RoutersCounted{Count: 8})
+	h.step(scatter.RoutersChanged{Count: 8})
 	h.servers("s", 1)
 	route := singleRoute(true)
 	route.MaxAttempts = 1
--- a/internal/scatter/evacuation_test.go
+++ b/internal/scatter/evacuation_test.go
@@ -19,7 +19,7 @@
 }
 
 func (h *harness) evacuate(zones ...string) {
-	h.step(scatter.ZonesEvacuated{View: evacuation.View{}.Take(h.now, zones, 0)})
+	h.step(scatter.ZonesEvacuated{View: evacuation.View{}.Update(h.now, zones, 0)})
 }
 
 func TestNothingGoesToAnEvacuatedZone(t *testing.T) {
--- a/internal/scatter/events.go
+++ b/internal/scatter/events.go
@@ -30,12 +30,12 @@
 	Deadline time.Time
 	// Due is when a reply loses part of its value; zero for never.
 	Due time.Time
-	// Earlier is how many other routers may have sent attempts before: each is assumed to have
+	// PriorAttempts is how many other routers may have sent attempts before: each is assumed to have
 	// sent one, and every further attempt needs a budget token.
-	Earlier int
-	// Claims says that the requesting router counts the attempts: each one beyond the first of
+	PriorAttempts int
+	// ClaimExtras says that the requesting router counts the attempts: each one beyond the first of
 	// a shard is sent only once it has been granted.
-	Claims bool
+	ClaimExtras bool
 }
 
 // Granted answers a Claim: attempts beyond the first may be sent for some shards of a request,
@@ -64,22 +64,22 @@
 // ServersChanged reports servers that are new or have changed.
 type ServersChanged struct{ Servers []Server }
 
-// ServersGone reports servers that get no new work and are removed.
-type ServersGone struct{ IDs []string }
+// ServersRemoved reports servers that get no new work and are removed.
+type ServersRemoved struct{ IDs []string }
 
 // DocumentChanged reports the services of a new document.
 type DocumentChanged struct{ Services []routing.Service }
 
-// RoutersCounted reports how many routers share the servers.
-type RoutersCounted struct {
+// RoutersChanged reports how many routers share the servers.
+type RoutersChanged struct {
 	Count int
 	// Rank is the position of this router, from 0, in an order that all routers agree on.
 	Rank int
 }
 
-// GatherersCounted reports, for services that are shards, how many routers normally send to
+// GatherersChanged reports, for services that are shards, how many routers normally send to
 // each. All routers send to services that are not listed.
-type GatherersCounted struct{ Gatherers map[string]Gatherers }
+type GatherersChanged struct{ Gatherers map[string]Gatherers }
 
 // Gatherers are the routers that normally send to the servers of a shard: their requests are
 // divided by shard (package slicing).
@@ -103,10 +103,10 @@
 func (Abandoned) isEvent()        {}
 func (Withdrawn) isEvent()        {}
 func (ServersChanged) isEvent()   {}
-func (ServersGone) isEvent()      {}
+func (ServersRemoved) isEvent()      {}
 func (DocumentChanged) isEvent()  {}
-func (RoutersCounted) isEvent()   {}
-func (GatherersCounted) isEvent() {}
+func (RoutersChanged) isEvent()   {}
+func (GatherersChanged) isEvent() {}
 func (ZonesEvacuated) isEvent()   {}
 func (TimerFired) isEvent()       {}
 
@@ -122,8 +122,8 @@
 	// Version is that of the server's software; empty if it reports none.
 	Version string
 	Slots   int
-	// Leaving servers are draining and get no new work.
-	Leaving bool
+	// Draining servers are draining and get no new work.
+	Draining bool
 	// Missing servers no longer report to the directory; they get work only if there is no
 	// other.
 	Missing bool
@@ -232,10 +232,10 @@
 // Wake requests a TimerFired at a time; each replaces the previous one.
 type Wake struct{ At time.Time }
 
-// Noted reports a change in the state of a server, for the log.
-type Noted struct {
+// LogServer reports a change in the state of a server, for the log.
+type LogServer struct {
 	Server Server
-	Belief string
+	Event string
 	Detail string
 }
 
@@ -247,7 +247,7 @@
 func (Dropped) isCommand() {}
 func (Overdue) isCommand() {}
 func (Wake) isCommand()    {}
-func (Noted) isCommand()   {}
+func (LogServer) isCommand()   {}
 
 // Result is the result of a request.
 type Result struct {
@@ -266,9 +266,9 @@
 	Extras   int
 	// Denied counts the extra attempts that the budget denied.
 	Denied int
-	// Lacked counts the calls without a part; Lacking describes the first few.
-	Lacked  int
-	Lacking []MissingPart
+	// MissingCount counts the calls without a part; Lacking describes the first few.
+	MissingCount  int
+	MissingParts []MissingPart
 }
 
 // StepKind is the kind of a step of a call.
--- a/internal/scatter/fleet_budget_test.go
+++ b/internal/scatter/fleet_budget_test.go
@@ -39,7 +39,7 @@
 	fl := &fleet{limits: limits}
 	for number := range count {
 		router := &fleetRouter{Router: slicing.Router{Name: fmt.Sprintf("r%02d", number), Zone: "a"}, engine: newHarness(t, limits)}
-		router.engine.step(scatter.RoutersCounted{Count: count})
+		router.engine.step(scatter.RoutersChanged{Count: count})
 		router.engine.servers("s", 3)
 		fl.routers = append(fl.routers, router)
 	}
@@ -48,10 +48,10 @@
 
 // layout returns the layout as a router sees it that knows which routers are frozen.
 func (f *fleet) layout(self slicing.Router) *slicing.Layout {
-	site := slicing.Site{Zones: func(string) []string { return []string{"a"} }, Calls: f.calls}
+	site := slicing.Inputs{Zones: func(string) []string { return []string{"a"} }, Calls: f.calls}
 	for _, router := range f.routers {
 		listed := router.Router
-		listed.Absent = router.frozen > 0
+		listed.Unavailable = router.frozen > 0
 		site.Routers = append(site.Routers, listed)
 	}
 	return slicing.NewLayout(self, []string{"s"}, site)
@@ -81,7 +81,7 @@
 func (f *fleet) run(router *fleetRouter, at time.Duration) {
 	if router.layoutDelay--; router.layoutDelay < 0 {
 		counted := f.layout(router.Router).Gatherers()["s"]
-		router.engine.step(scatter.GatherersCounted{Gatherers: map[string]scatter.Gatherers{"s": scatter.Gatherers(counted)}})
+		router.engine.step(scatter.GatherersChanged{Gatherers: map[string]scatter.Gatherers{"s": scatter.Gatherers(counted)}})
 	}
 	router.engine.advance(origin.Add(at + fleetTick).Sub(router.engine.now))
 	for _, send := range router.engine.take() {
--- a/internal/scatter/harness_test.go
+++ b/internal/scatter/harness_test.go
@@ -33,7 +33,7 @@
 	overdue map[scatter.RequestID]scatter.Result
 	last    scatter.RequestID
 	claims  []scatter.Claim
-	logged  []scatter.Noted
+	logged  []scatter.LogServer
 }
 
 func newHarness(t reporter, limits scatter.BudgetLimits) *harness {
@@ -63,7 +63,7 @@
 			h.overdue[command.Request] = command.Result
 		case scatter.Claim:
 			h.claims = append(h.claims, command)
-		case scatter.Noted:
+		case scatter.LogServer:
 			h.logged = append(h.logged, command)
 		case scatter.Wake:
 			h.wake = command.At
--- a/internal/scatter/lack.go
+++ b/internal/scatter/lack.go
@@ -40,8 +40,8 @@
 	Server  string
 	Failure Failure
 	Cause   Cause
-	// Open says that an attempt was still in flight.
-	Open bool
+	// InFlight says that an attempt was still in flight.
+	InFlight bool
 	// Steps are the steps of the call, in order.
 	Steps []Step
 }
@@ -55,9 +55,9 @@
 		if c.part != nil {
 			continue
 		}
-		result.Lacked++
-		if len(result.Lacking) < maxMissingParts {
-			result.Lacking = append(result.Lacking, e.missingPart(c))
+		result.MissingCount++
+		if len(result.MissingParts) < maxMissingParts {
+			result.MissingParts = append(result.MissingParts, e.missingPart(c))
 		}
 	}
 	return result
@@ -66,7 +66,7 @@
 func (e *Engine) missingPart(c *call) MissingPart {
 	lack := MissingPart{
 		Service: c.group.service, Failure: c.lastFailure, Cause: e.cause(c),
-		Open: len(c.inFlight) > 0, Steps: c.steps,
+		InFlight: len(c.inFlight) > 0, Steps: c.steps,
 	}
 	if len(c.tried) > 0 {
 		lack.Server = c.tried[len(c.tried)-1].ID
--- a/internal/scatter/missing_test.go
+++ b/internal/scatter/missing_test.go
@@ -75,7 +75,7 @@
 	}
 	logLines := func() (details []string) {
 		for _, noted := range h.logged {
-			if noted.Belief == "missing_server_used" {
+			if noted.Event == "missing_server_used" {
 				details = append(details, noted.Server.ID+" "+noted.Detail)
 			}
 		}
@@ -83,7 +83,7 @@
 	}
 	h.step(scatter.ServersChanged{Servers: []scatter.Server{start("i#1", true)}})
 	h.step(scatter.ServersChanged{Servers: []scatter.Server{{ID: "other", Name: "other", Service: "s", Missing: true, Slots: 1}}})
-	h.step(scatter.ServersGone{IDs: []string{"other"}})
+	h.step(scatter.ServersRemoved{IDs: []string{"other"}})
 	for range 3 {
 		h.arrive(singleRoute(true))
 		h.end(h.take()[0], good("x"))
--- a/internal/scatter/not_sent_test.go
+++ b/internal/scatter/not_sent_test.go
@@ -24,7 +24,7 @@
 	require.False(t, h.sent[1].Extra)
 	h.step(scatter.Ended{Attempt: h.sent[1].Attempt, Outcome: scatter.Outcome{Reply: &message.Reply{Status: 200}, Verdict: verdict.Ran}})
 	require.Equal(t, 1, h.results[id].Attempts)
-	h.step(scatter.ServersGone{IDs: []string{h.sent[1].Server.ID}})
+	h.step(scatter.ServersRemoved{IDs: []string{h.sent[1].Server.ID}})
 	h.arrive(singleRoute(false))
 	require.Equal(t, held.Server.ID, h.sent[2].Server.ID, "the server must not be avoided")
 }
--- a/internal/scatter/overload_test.go
+++ b/internal/scatter/overload_test.go
@@ -77,7 +77,7 @@
 // routers, which send it in order of urgency.
 func TestSaturatedServerIsSentLittle(t *testing.T) {
 	h := newHarness(t, ampleBudget)
-	h.step(scatter.RoutersCounted{Count: 4})
+	h.step(scatter.RoutersChanged{Count: 4})
 	h.servers("s", 1)
 	route := singleRoute(false)
 	h.arrive(route)
@@ -178,7 +178,7 @@
 	late := h.arrive(route)
 	h.advance(route.Target + time.Millisecond)
 	causes := map[string]scatter.Cause{}
-	for _, lack := range h.overdue[late].Lacking {
+	for _, lack := range h.overdue[late].MissingParts {
 		causes[lack.Service] = lack.Cause
 	}
 	require.Equal(t, map[string]scatter.Cause{
--- a/internal/scatter/request.go
+++ b/internal/scatter/request.go
@@ -111,14 +111,14 @@
 )
 
 func (e *Engine) arrive(event Arrived) {
-	arrived := &request{id: event.ID, route: event.Route, arrived: e.now, deadline: event.Deadline, due: event.Due, open: len(event.Services), claims: event.Claims}
+	arrived := &request{id: event.ID, route: event.Route, arrived: e.now, deadline: event.Deadline, due: event.Due, open: len(event.Services), claims: event.ClaimExtras}
 	e.requests[event.ID] = arrived
 	e.timers.add(timer{at: event.Deadline, kind: timerDeadline, request: event.ID})
 	if !event.Due.IsZero() {
 		e.timers.add(timer{at: event.Due, kind: timerDue, request: event.ID})
 	}
 	for position, service := range event.Services {
-		c := &call{request: arrived, position: position, group: e.group(service), priorAttempts: event.Earlier, canaryDraw: undrawn}
+		c := &call{request: arrived, position: position, group: e.group(service), priorAttempts: event.PriorAttempts, canaryDraw: undrawn}
 		arrived.calls = append(arrived.calls, c)
 	}
 	for _, c := range arrived.calls {
@@ -160,7 +160,7 @@
 func (e *Engine) allWithheld(g *group) bool {
 	cold := e.coldShare(g)
 	return len(g.servers) > 0 && !slices.ContainsFunc(g.servers, func(s *server) bool {
-		return !e.evacuated.Empty(e.now, s.Zone, s.Service) && !s.coldLimited(e.now, cold)
+		return !e.evacuated.Evacuated(e.now, s.Zone, s.Service) && !s.coldLimited(e.now, cold)
 	})
 }
 
--- a/internal/scatter/rollouts.go
+++ b/internal/scatter/rollouts.go
@@ -12,17 +12,17 @@
 
 func (RolloutsChanged) isEvent() {}
 
-// Observed reports the outcome of an attempt at a service with a running rollout.
-type Observed struct {
+// RolloutOutcome reports the outcome of an attempt at a service with a running rollout.
+type RolloutOutcome struct {
 	Service string
 	Route   string
 	// New says that the server runs the new version, Bad that the attempt failed.
 	New  bool
-	Bad  bool
-	Took time.Duration
+	Failed  bool
+	Duration time.Duration
 }
 
-func (Observed) isCommand() {}
+func (RolloutOutcome) isCommand() {}
 
 // undrawn marks a call whose canary draw has not been made yet.
 const undrawn = -1
@@ -58,9 +58,9 @@
 			continue
 		}
 		for _, replaced := range e.group(service).servers {
-			if replaced.Version != rule.Target && !replaced.Leaving {
-				replaced.Leaving = true
-				e.emit(Noted{Server: replaced.Server, Belief: "server_replaced"})
+			if replaced.Version != rule.Target && !replaced.Draining {
+				replaced.Draining = true
+				e.emit(LogServer{Server: replaced.Server, Event: "server_replaced"})
 			}
 		}
 	}
@@ -82,15 +82,15 @@
 	if !ruled || !rule.Phase.Running() {
 		return
 	}
-	observed := Observed{
+	observed := RolloutOutcome{
 		Service: ended.server.Service, Route: ended.call.request.route.Name,
-		New: ended.server.Version == rule.Target, Took: e.now.Sub(ended.started),
+		New: ended.server.Version == rule.Target, Duration: e.now.Sub(ended.started),
 	}
 	switch outcome.Failure {
 	case NoFailure:
-		observed.Bad = outcome.Reply.ServerFailed()
+		observed.Failed = outcome.Reply.ServerFailed()
 	case Broken, TimedOut:
-		observed.Bad = true
+		observed.Failed = true
 	case Aborted:
 		// The true duration is at least as long.
 	default:
@@ -99,9 +99,9 @@
 	e.emit(observed)
 }
 
-// InFlightBeside counts the attempts in flight at servers of a service with any version but
+// InFlightExcept counts the attempts in flight at servers of a service with any version but
 // the given one.
-func (e *Engine) InFlightBeside(service, version string) (count int) {
+func (e *Engine) InFlightExcept(service, version string) (count int) {
 	for _, a := range e.attempts {
 		if a.server.Service == service && a.server.Version != version {
 			count++
--- a/internal/scatter/server.go
+++ b/internal/scatter/server.go
@@ -113,7 +113,7 @@
 }
 
 // usable reports whether the server may get new work at all.
-func (s *server) usable() bool { return !s.Leaving && !s.Replaced && !s.misdirected }
+func (s *server) usable() bool { return !s.Draining && !s.Replaced && !s.misdirected }
 
 // sharesProcess reports whether two incarnations of a server are served by the same process.
 func (s *server) sharesProcess(other *server) bool {
@@ -152,7 +152,7 @@
 		answered = e.now.Sub(chosen.lastReplyAt).Round(time.Millisecond).String()
 	}
 	starts := strings.Join(e.group(chosen.Service).incarnationsOf(chosen), " ")
-	e.emit(Noted{Server: chosen.Server, Belief: "missing_server_used", Detail: "last_answer=" + answered + " starts=[" + starts + "]"})
+	e.emit(LogServer{Server: chosen.Server, Event: "missing_server_used", Detail: "last_answer=" + answered + " starts=[" + starts + "]"})
 }
 
 // condition ranks servers by how likely they are to answer; lower is better.
--- a/internal/slicing/layout.go
+++ b/internal/slicing/layout.go
@@ -21,9 +21,9 @@
 	Address string
 	// Identifies says that the router includes its name in its replies.
 	Identifies bool
-	// Absent says that no slices are sent to it now: it is stopping, silent or failed. It
+	// Unavailable says that no slices are sent to it now: it is stopping, silent or failed. It
 	// keeps its position in its cell, so that other routers keep theirs.
-	Absent bool
+	Unavailable bool
 }
 
 // Slice is the part of a request's shards that one router gathers.
@@ -90,8 +90,8 @@
 	active []Router
 }
 
-// Site is the input of a layout besides the shards.
-type Site struct {
+// Inputs is the input of a layout besides the shards.
+type Inputs struct {
 	// Zones returns the zones in which a shard has servers.
 	Zones func(shard string) []string
 	// Routers may include the local router or not.
@@ -101,8 +101,8 @@
 }
 
 // NewLayout returns the layout of shards from the point of view of self.
-func NewLayout(self Router, shards []string, site Site) *Layout {
-	self.Absent = false
+func NewLayout(self Router, shards []string, site Inputs) *Layout {
+	self.Unavailable = false
 	layout := &Layout{
 		self: self, zones: groupByZone(self, site.Routers),
 		shardZones: make(map[string][]string, len(shards)), reachableZones: make(map[string][]string, len(shards)),
@@ -183,7 +183,7 @@
 }
 
 func available(routers []Router) []Router {
-	return lo.Filter(routers, func(router Router, _ int) bool { return !router.Absent })
+	return lo.Filter(routers, func(router Router, _ int) bool { return !router.Unavailable })
 }
 
 // Gatherers describes the routers that have a share of the capacity of a shard's servers. It
--- a/internal/slicing/layout_bench_test.go
+++ b/internal/slicing/layout_bench_test.go
@@ -21,7 +21,7 @@
 	for number, shard := range shards {
 		places[shard] = []string{zoneNames[number%6], zoneNames[(number+1)%6], zoneNames[(number+2)%6]}
 	}
-	site := slicing.Site{Zones: func(shard string) []string { return places[shard] }, Routers: routers, Calls: 8192}
+	site := slicing.Inputs{Zones: func(shard string) []string { return places[shard] }, Routers: routers, Calls: 8192}
 	b.ReportAllocs()
 	for b.Loop() {
 		slicing.NewLayout(routers[0], shards, site).Gatherers()
--- a/internal/slicing/slicing_test.go
+++ b/internal/slicing/slicing_test.go
@@ -20,7 +20,7 @@
 		for number := range rapid.IntRange(0, 20).Draw(t, "routers") {
 			zone := rapid.SampledFrom(zoneNames).Draw(t, "zone")
 			routers = append(routers, slicing.Router{
-				Name: fmt.Sprint("r", number), Zone: zone, Address: "x", Absent: rapid.Bool().Draw(t, "absent"),
+				Name: fmt.Sprint("r", number), Zone: zone, Address: "x", Unavailable: rapid.Bool().Draw(t, "absent"),
 			})
 		}
 		self := slicing.Router{Name: "self", Zone: rapid.SampledFrom(zoneNames).Draw(t, "own")}
@@ -31,7 +31,7 @@
 			shards = append(shards, shard)
 			places[shard] = rapid.SliceOfNDistinct(rapid.SampledFrom(zoneNames), 0, 3, rapid.ID[string]).Draw(t, "places")
 		}
-		assigned := slicing.NewLayout(self, shards, slicing.Site{
+		assigned := slicing.NewLayout(self, shards, slicing.Inputs{
 			Zones: func(shard string) []string { return places[shard] }, Routers: routers, Calls: rapid.Float64Range(0, 1e5).Draw(t, "calls"),
 		}).Assign("id", shards)
 		var all []string
@@ -44,7 +44,7 @@
 				continue
 			}
 			require.NotEqual(t, "self", slice.Router.Name)
-			require.False(t, slice.Router.Absent)
+			require.False(t, slice.Router.Unavailable)
 			for _, shard := range slice.Shards {
 				require.Contains(t, places[shard], slice.Router.Zone)
 			}
@@ -60,7 +60,7 @@
 	self := slicing.Router{Name: "self", Zone: "a"}
 	routers := []slicing.Router{{Name: "other", Zone: "b"}}
 	shards := []string{"near", "far", "nowhere"}
-	assigned := slicing.NewLayout(self, shards, slicing.Site{Routers: routers, Zones: func(shard string) []string {
+	assigned := slicing.NewLayout(self, shards, slicing.Inputs{Routers: routers, Zones: func(shard string) []string {
 		return map[string][]string{"near": {"b", "a"}, "far": {"b"}, "nowhere": {"c"}}[shard]
 	}}).Assign("id", shards)
 	require.Equal(t, []slicing.Slice{
@@ -80,7 +80,7 @@
 	gatherers := map[string]map[string]bool{}
 	for request := range 500 {
 		self := slicing.Router{Name: "self", Zone: "a"}
-		for _, slice := range slicing.NewLayout(self, shards, slicing.Site{Zones: func(string) []string { return []string{"b"} }, Routers: routers}).Assign(fmt.Sprint(request), shards) {
+		for _, slice := range slicing.NewLayout(self, shards, slicing.Inputs{Zones: func(string) []string { return []string{"b"} }, Routers: routers}).Assign(fmt.Sprint(request), shards) {
 			for _, shard := range slice.Shards {
 				if gatherers[shard] == nil {
 					gatherers[shard] = map[string]bool{}
@@ -115,7 +115,7 @@
 	gatherers := map[string]map[string]bool{}
 	for request := range 800 {
 		self := routers[request%len(routers)]
-		for _, slice := range slicing.NewLayout(self, shards, slicing.Site{Zones: zones, Routers: routers}).Assign(fmt.Sprint(request), shards) {
+		for _, slice := range slicing.NewLayout(self, shards, slicing.Inputs{Zones: zones, Routers: routers}).Assign(fmt.Sprint(request), shards) {
 			for _, shard := range slice.Shards {
 				if gatherers[shard] == nil {
 					gatherers[shard] = map[string]bool{}
@@ -133,7 +133,7 @@
 	}
 	sharing := map[string]int{}
 	for _, self := range routers {
-		counted := slicing.NewLayout(self, shards, slicing.Site{Zones: zones, Routers: routers}).Gatherers()
+		counted := slicing.NewLayout(self, shards, slicing.Inputs{Zones: zones, Routers: routers}).Gatherers()
 		for shard, by := range gatherers {
 			require.False(t, by[self.Name] && !counted[shard].Self, "%s gathers %s without a share", self.Name, shard)
 			if counted[shard].Self {
@@ -141,7 +141,7 @@
 			}
 		}
 	}
-	counted := slicing.NewLayout(routers[0], shards, slicing.Site{Zones: zones, Routers: routers}).Gatherers()
+	counted := slicing.NewLayout(routers[0], shards, slicing.Inputs{Zones: zones, Routers: routers}).Gatherers()
 	for shard := range gatherers {
 		require.Equal(t, counted[shard].Count, sharing[shard], "the count equals the number of routers with a share")
 	}
@@ -155,7 +155,7 @@
 	times := map[string]int{}
 	shards := namedShards(3)
 	for request := range 1000 {
-		assigned := slicing.NewLayout(self, shards, slicing.Site{Zones: func(string) []string { return []string{"b", "c"} }, Routers: routers}).Assign(fmt.Sprint(request), shards)
+		assigned := slicing.NewLayout(self, shards, slicing.Inputs{Zones: func(string) []string { return []string{"b", "c"} }, Routers: routers}).Assign(fmt.Sprint(request), shards)
 		require.Len(t, assigned, 1)
 		times[assigned[0].Router.Zone]++
 	}
@@ -167,12 +167,12 @@
 // assignments, and with them the connections, must stay.
 func TestUnavailableRouterDoesNotMoveShardsOfOthers(t *testing.T) {
 	shards := namedShards(60)
-	site := slicing.Site{Zones: func(string) []string { return []string{"b"} }}
+	site := slicing.Inputs{Zones: func(string) []string { return []string{"b"} }}
 	self := slicing.Router{Name: "self", Zone: "a"}
 	gathered := func(absent int) map[string]map[string]bool {
 		site.Routers = routersOf("b", 16)
 		if absent >= 0 {
-			site.Routers[absent].Absent = true
+			site.Routers[absent].Unavailable = true
 		}
 		return observedGatherers(slicing.NewLayout(self, shards, site), shards)
 	}
@@ -230,7 +230,7 @@
 // rate, never fewer than two if as many routers are available, and more as the rate rises.
 func TestAsManyRoutersGatherAsTheCallsNeed(t *testing.T) {
 	shards := namedShards(84)
-	site := slicing.Site{Zones: func(string) []string { return []string{"b"} }, Routers: routersOf("b", 48)}
+	site := slicing.Inputs{Zones: func(string) []string { return []string{"b"} }, Routers: routersOf("b", 48)}
 	var before int
 	for _, calls := range []float64{0, 300, 2500, 10_000} {
 		site.Calls = calls
@@ -258,7 +258,7 @@
 // spread evenly over all gatherers; at a high rate assignments must depend on the request.
 func TestRoutersWithLittleTrafficUseFewPeers(t *testing.T) {
 	shards := namedShards(84)
-	site := slicing.Site{Zones: func(string) []string { return []string{"b", "c"} }, Calls: 1000}
+	site := slicing.Inputs{Zones: func(string) []string { return []string{"b", "c"} }, Calls: 1000}
 	for _, zone := range []string{"b", "c"} {
 		for _, router := range routersOf(zone, 50) {
 			router.Name = zone + router.Name
@@ -292,14 +292,14 @@
 		var routers []slicing.Router
 		for number := range rapid.IntRange(1, 40).Draw(t, "routers") {
 			zone := rapid.SampledFrom(zoneNames).Draw(t, "zone")
-			routers = append(routers, slicing.Router{Name: fmt.Sprint("r", number), Zone: zone, Absent: rapid.Bool().Draw(t, "absent")})
+			routers = append(routers, slicing.Router{Name: fmt.Sprint("r", number), Zone: zone, Unavailable: rapid.Bool().Draw(t, "absent")})
 		}
 		shards := namedShards(rapid.IntRange(1, 60).Draw(t, "shards"))
 		places := map[string][]string{}
 		for _, shard := range shards {
 			places[shard] = rapid.SliceOfNDistinct(rapid.SampledFrom(zoneNames), 1, 3, rapid.ID[string]).Draw(t, "places")
 		}
-		site := slicing.Site{
+		site := slicing.Inputs{
 			Zones: func(shard string) []string { return places[shard] }, Routers: routers,
 			Calls: rapid.Float64Range(0, 20_000).Draw(t, "calls"),
 		}
@@ -342,16 +342,16 @@
 		"all of them later":           {[]time.Duration{1, 1, 1}, false},
 		"enough and one too":          {[]time.Duration{-3, -2, -1}, true},
 	} {
-		collection := slicing.Collection{Total: 3, Least: 0.6, Cut: cut, Deadline: cut.Add(time.Second)}
+		collection := slicing.Collection{Total: 3, MinCoverage: 0.6, Cutoff: cut, Deadline: cut.Add(time.Second)}
 		for _, after := range sample.parts {
 			collection.Add(cut.Add(after * time.Millisecond))
 		}
-		require.Equal(t, len(sample.parts), collection.In, name)
-		require.Equal(t, sample.want, collection.DueAtCut(), name)
+		require.Equal(t, len(sample.parts), collection.Received, name)
+		require.Equal(t, sample.want, collection.DueAtCutoff(), name)
 	}
-	without := slicing.Collection{Total: 1, Least: 1}
+	without := slicing.Collection{Total: 1, MinCoverage: 1}
 	without.Add(cut)
-	require.False(t, without.DueAtCut())
+	require.False(t, without.DueAtCutoff())
 }
 
 func TestCollectionDecides(t *testing.T) {
@@ -375,10 +375,10 @@
 		"all failed":                       {0, 10, 0, slicing.FailCoverage},
 		"enough, after the soft deadline":  {9, 0, 500 * time.Millisecond, slicing.Answer},
 	} {
-		collection := slicing.Collection{Total: 10, In: sample.in, Out: sample.out, Least: 0.9, Cut: cut, Deadline: deadline}
+		collection := slicing.Collection{Total: 10, Received: sample.in, Failed: sample.out, MinCoverage: 0.9, Cutoff: cut, Deadline: deadline}
 		require.Equal(t, sample.want, collection.Decide(start.Add(sample.at)), name)
 	}
-	collection := slicing.Collection{Total: 1, Cut: cut, Deadline: deadline}
+	collection := slicing.Collection{Total: 1, Cutoff: cut, Deadline: deadline}
 	require.Equal(t, cut, collection.Next(start))
 	require.Equal(t, deadline, collection.Next(cut))
 }
--- a/internal/voter/loop.go
+++ b/internal/voter/loop.go
@@ -45,7 +45,7 @@
 			l.failQueuedChanges()
 			return
 		case <-l.timer.C:
-			l.step(consensus.Wake{})
+			l.step(consensus.DeadlineReached{})
 		case <-l.syncSignal:
 			l.handleSync()
 		case event := <-l.requests.Items():
@@ -85,10 +85,10 @@
 	l.sendToApplier(output)
 	l.completeReads(output.Reads)
 	l.updateState(output.State)
-	if output.Wake.IsZero() {
+	if output.NextDeadline.IsZero() {
 		l.timer.Stop()
 	} else {
-		l.timer.Reset(steadyclock.Until(output.Wake))
+		l.timer.Reset(steadyclock.Until(output.NextDeadline))
 	}
 	return output
 }
--- a/internal/voter/membership.go
+++ b/internal/voter/membership.go
@@ -48,9 +48,9 @@
 	return errors.Wrapf(err, "removing voter %d", id)
 }
 
-// Move changes the address of a member.
-func (v *Voter) Move(ctx context.Context, id uint64, address string) error {
-	err := v.changeWithRetry(ctx, consensus.Change{Kind: consensus.MoveMember, ID: id, Address: address})
+// UpdateMemberAddress changes the address of a member.
+func (v *Voter) UpdateMemberAddress(ctx context.Context, id uint64, address string) error {
+	err := v.changeWithRetry(ctx, consensus.Change{Kind: consensus.UpdateMemberAddress, ID: id, Address: address})
 	return errors.Wrapf(err, "moving member %d", id)
 }
 
--- a/internal/voter/voter.go
+++ b/internal/voter/voter.go
@@ -154,15 +154,15 @@
 			v.metrics.dropped.WithLabelValues("invalid").Inc()
 			continue
 		}
-		v.Hear(message.From, message.FromAddress)
+		v.ObserveAddress(message.From, message.FromAddress)
 		if !v.messages.TryPush(message) {
 			v.metrics.dropped.WithLabelValues("in").Inc()
 		}
 	}
 }
 
-// Hear records the address that a voter reports for itself. Later messages to a member are sent there.
-func (v *Voter) Hear(id uint64, address string) {
+// ObserveAddress records the address that a voter reports for itself. Later messages to a member are sent there.
+func (v *Voter) ObserveAddress(id uint64, address string) {
 	former := v.addresses.recordReported(id, address)
 	if former == "" {
 		return
@@ -174,9 +174,9 @@
 	}
 }
 
-// ReachedAt returns the current address of a member, which may have moved since the membership was
+// AddressOf returns the current address of a member, which may have moved since the membership was
 // last changed. It is empty for an unknown id.
-func (v *Voter) ReachedAt(id uint64) string {
+func (v *Voter) AddressOf(id uint64) string {
 	if id == v.config.ID && isDialable(v.config.Address) {
 		return v.config.Address
 	}
