--- a/internal/plan/delta.go
+++ b/internal/plan/delta.go
@@ -10,15 +10,15 @@
 	martenstagev1 "github.com/martenstage/martenstage/internal/gen/martenstage/v1"
 )
 
-// Delta returns what turns base into next; the caller sets BaseRevision. A
-// service of which only shards changed is carried as these shards alone, so
-// that one replica of a large service costs a few hundred bytes. Routes that
-// differ only in source lines are not carried.
+// Delta returns the changes that turn base into next; the caller sets
+// BaseRevision. If only shards of a service changed, the delta contains just
+// these shards, so that changing one replica of a large service costs a few
+// hundred bytes. Routes that differ only in source lines are left out.
 func Delta(base, next *Plan) *martenstagev1.PlanDelta {
 	delta := &martenstagev1.PlanDelta{}
 	before := lo.KeyBy(base.Services, func(service Service) string { return service.Name })
 	for _, service := range next.Services {
-		addService(delta, before, service)
+		addServiceChanges(delta, before, service)
 		delete(before, service.Name)
 	}
 	delta.RemovedServices = sortedKeys(before)
@@ -32,7 +32,7 @@
 		delete(routesBefore, route.Name)
 	}
 	delta.RemovedRoutes = sortedKeys(routesBefore)
-	addRemote(delta, base, next)
+	addRemoteChanges(delta, base, next)
 	return delta
 }
 
@@ -45,9 +45,9 @@
 	return keys
 }
 
-func addService(delta *martenstagev1.PlanDelta, before map[string]Service, service Service) {
+func addServiceChanges(delta *martenstagev1.PlanDelta, before map[string]Service, service Service) {
 	earlier, found := before[service.Name]
-	if !found || !sameFrame(earlier, service) {
+	if !found || !sameStructure(earlier, service) {
 		delta.ChangedServices = append(delta.ChangedServices, serviceToProto(service))
 		return
 	}
@@ -64,19 +64,19 @@
 	}
 }
 
-// sameFrame reports whether two states of a service differ at most in the
-// content of shards that both have.
-func sameFrame(left, right Service) bool {
-	return settingsEqual(left, right) &&
+// sameStructure reports whether two versions of a service have the same
+// settings, generations and shard IDs, and differ at most in shard contents.
+func sameStructure(left, right Service) bool {
+	return serviceSettingsEqual(left, right) &&
 		slices.EqualFunc(left.Generations, right.Generations, func(a, b Generation) bool {
 			return a.Number == b.Number &&
-				(sameList(a.Shards, b.Shards) || slices.EqualFunc(a.Shards, b.Shards, func(a, b Shard) bool { return a.ID == b.ID }))
+				(sameBackingArray(a.Shards, b.Shards) || slices.EqualFunc(a.Shards, b.Shards, func(a, b Shard) bool { return a.ID == b.ID }))
 		})
 }
 
 func changedShards(before, after []Shard) []Shard {
 	var changed []Shard
-	if sameList(before, after) {
+	if sameBackingArray(before, after) {
 		return nil
 	}
 	for index, shard := range after {
@@ -87,22 +87,22 @@
 	return changed
 }
 
-// ApplyDelta returns the plan that the delta leads to from base. Base is not
-// changed; the new plan shares what did not change. An error means that the
-// delta was made for another plan, or is malformed.
+// ApplyDelta returns the plan that results from applying the delta to base.
+// Base is not modified; the new plan shares its unchanged parts. An error means
+// that the delta was made for another base plan or is malformed.
 func ApplyDelta(base *Plan, delta *martenstagev1.PlanDelta) (*Plan, error) {
 	reader := newProtoReader()
-	services, err := replaced(base.Services, namedChanges[Service]{
+	services, err := applyNamedChanges(base.Services, namedChanges[Service]{
 		name:    func(service Service) string { return service.Name },
-		changed: mapped(delta.GetChangedServices(), reader.service),
+		changed: convertList(delta.GetChangedServices(), reader.service),
 		removed: delta.GetRemovedServices(),
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "services of the delta")
 	}
-	routes, err := replaced(base.Routes, namedChanges[Route]{
+	routes, err := applyNamedChanges(base.Routes, namedChanges[Route]{
 		name:    func(route Route) string { return route.Name },
-		changed: mapped(delta.GetChangedRoutes(), reader.route),
+		changed: convertList(delta.GetChangedRoutes(), reader.route),
 		removed: delta.GetRemovedRoutes(),
 	})
 	if err != nil {
@@ -120,15 +120,15 @@
 	return next, reader.err
 }
 
-// namedChanges are the changes of a list that is sorted by name.
+// namedChanges holds the changes to a list that is sorted by name.
 type namedChanges[Value any] struct {
 	name    func(Value) string
 	changed []Value
 	removed []string
 }
 
-// replaced returns a new sorted list with the changes applied.
-func replaced[Value any](values []Value, changes namedChanges[Value]) ([]Value, error) {
+// applyNamedChanges returns a new sorted list with the changes applied.
+func applyNamedChanges[Value any](values []Value, changes namedChanges[Value]) ([]Value, error) {
 	byName := lo.KeyBy(values, changes.name)
 	for _, name := range changes.removed {
 		if _, found := byName[name]; !found {
@@ -147,8 +147,8 @@
 	return result, nil
 }
 
-// replaceShards puts changed shards into the plan. It copies the lists that it
-// changes, because the base still holds them.
+// replaceShards replaces the changed shards in next. It copies the slices that
+// it modifies, because the base plan shares them.
 func replaceShards(next *Plan, changes *martenstagev1.ShardChanges, reader *protoReader) error {
 	service, found := next.ServiceNamed(changes.GetService())
 	if !found {
@@ -163,7 +163,7 @@
 	}
 	service.Generations = slices.Clone(service.Generations)
 	shards := slices.Clone(service.Generations[index].Shards)
-	for _, shard := range mapped(changes.GetShards(), reader.shard) {
+	for _, shard := range convertList(changes.GetShards(), reader.shard) {
 		if int(shard.ID) >= len(shards) {
 			return errors.Newf("shards of the delta: the base has no shard %d in service %q", shard.ID, changes.GetService())
 		}
--- a/internal/plan/diff.go
+++ b/internal/plan/diff.go
@@ -8,29 +8,29 @@
 	"github.com/samber/lo"
 )
 
-// Difference says what a change of configuration touches.
+// Difference lists what differs between two plans.
 type Difference struct {
 	Services []ServiceDifference
 	Routes   []RouteDifference
-	// Regions and RemoteRoutes are other regions and the routes to them.
+	// Regions are the other regions that differ, RemoteRoutes the routes to them.
 	Regions      []RouteDifference
 	RemoteRoutes []RouteDifference
 }
 
-// Presence says whether a thing is new, gone or in both plans.
-type Presence string
+// ChangeKind says whether an item was added, removed or changed.
+type ChangeKind string
 
-// Presences.
+// Change kinds.
 const (
-	Added   Presence = "added"
-	Removed Presence = "removed"
-	Changed Presence = "changed"
+	Added   ChangeKind = "added"
+	Removed ChangeKind = "removed"
+	Changed ChangeKind = "changed"
 )
 
 // ServiceDifference is a service that differs between two plans.
 type ServiceDifference struct {
-	Name     string
-	Presence Presence
+	Name   string
+	Change ChangeKind
 	// Settings are the changed settings, each as "name: old -> new".
 	Settings []string
 	// Shards are the added, removed and changed shards of all generations.
@@ -39,9 +39,9 @@
 	// limits of the service's back ends.
 	ConnectionsBefore int
 	ConnectionsAfter  int
-	// Routes are the routes of the new plan that ask this service.
+	// Routes are the routes of the new plan that use this service.
 	Routes []string
-	// Warnings name changes that are accepted and yet rarely meant.
+	// Warnings describe changes that are valid but rarely intended.
 	Warnings []string
 }
 
@@ -49,8 +49,8 @@
 type ShardDifference struct {
 	Generation uint32
 	Name       string
-	Presence   Presence
-	// Replicas of the shard by what happens to them.
+	Change     ChangeKind
+	// Replicas of the shard, by kind of change.
 	AddedReplicas   []netip.AddrPort
 	RemovedReplicas []netip.AddrPort
 	ChangedReplicas []netip.AddrPort
@@ -59,18 +59,18 @@
 // RouteDifference is a route, remote route or other region that differs between
 // two plans.
 type RouteDifference struct {
-	Name     string
-	Presence Presence
+	Name   string
+	Change ChangeKind
 	// Settings are the changed settings, each as "name: old -> new".
 	Settings []string
 }
 
-// Empty reports whether the plans mean the same.
+// Empty reports whether the plans are equivalent.
 func (d Difference) Empty() bool {
 	return len(d.Services) == 0 && len(d.Routes) == 0 && len(d.Regions) == 0 && len(d.RemoteRoutes) == 0
 }
 
-// Diff returns what changes from one plan to the next, in order of names.
+// Diff returns the differences between two plans, sorted by name.
 func Diff(before, after *Plan) Difference {
 	var difference Difference
 	for _, name := range unionOfNames(before.Services, after.Services, func(service Service) string { return service.Name }) {
@@ -83,7 +83,7 @@
 			difference.Routes = append(difference.Routes, route)
 		}
 	}
-	difference.addRemote(before, after)
+	difference.addRemoteDifferences(before, after)
 	return difference
 }
 
@@ -93,7 +93,7 @@
 	return slices.Compact(names)
 }
 
-func presenceOf(before, after bool) Presence {
+func changeKindOf(before, after bool) ChangeKind {
 	switch {
 	case !before:
 		return Added
@@ -113,22 +113,22 @@
 	earlier, later = lo.CoalesceOrEmpty(earlier, &Service{}), lo.CoalesceOrEmpty(later, &Service{})
 	difference := ServiceDifference{
 		Name:              name,
-		Presence:          presenceOf(inBefore, inAfter),
+		Change:            changeKindOf(inBefore, inAfter),
 		Shards:            diffShards(earlier, later),
-		ConnectionsBefore: connections(earlier),
-		ConnectionsAfter:  connections(later),
-		Routes:            routesOf(after, name),
+		ConnectionsBefore: totalConnections(earlier),
+		ConnectionsAfter:  totalConnections(later),
+		Routes:            routesToService(after, name),
 	}
-	if difference.Presence == Changed {
+	if difference.Change == Changed {
 		difference.Settings = changedSettings(serviceSettings(*earlier), serviceSettings(*later))
 		difference.Warnings = generationWarnings(earlier, later)
 	}
 	return difference, true
 }
 
-// connections sums each back end's limit once, also when it stands in two
-// generations.
-func connections(service *Service) int {
+// totalConnections sums the connection limits of the service's back ends. It
+// counts a back end once, even if it belongs to two generations.
+func totalConnections(service *Service) int {
 	limits := map[netip.AddrPort]int{}
 	for _, generation := range service.Generations {
 		for _, shard := range generation.Shards {
@@ -140,17 +140,18 @@
 	return lo.Sum(lo.Values(limits))
 }
 
-func routesOf(p *Plan, service string) []string {
+func routesToService(p *Plan, service string) []string {
 	return lo.FilterMap(p.Routes, func(route Route, _ int) (string, bool) { return route.Name, route.Service == service })
 }
 
-// generationWarnings finds shard maps that changed without a new number.
-// Requests for a key would go to another shard's back ends, while both maps
-// claim to be the same.
+// generationWarnings warns about shard maps that changed under the same
+// generation number, about a newest number that decreases, and about changes
+// that keep no generation. With the same number for two shard maps, requests for
+// a key would go to the back ends of another shard unnoticed.
 func generationWarnings(before, after *Service) []string {
 	var warnings []string
 	for _, earlier := range before.Generations {
-		later, found := generationNumbered(after, earlier.Number)
+		later, found := findGeneration(after, earlier.Number)
 		if found && !slices.EqualFunc(earlier.Shards, later.Shards, func(a, b Shard) bool { return a.Name == b.Name }) {
 			warnings = append(warnings, fmt.Sprintf(
 				"generation %d has other groups than before under the same number; give a repartitioned index a new generation",
@@ -160,24 +161,24 @@
 	if len(before.Generations) > 0 && len(after.Generations) > 0 {
 		newest := before.Generations[len(before.Generations)-1].Number
 		if after.Generations[len(after.Generations)-1].Number < newest {
-			warnings = append(warnings, fmt.Sprintf("the newest generation goes back from %d to %d",
+			warnings = append(warnings, fmt.Sprintf("the newest generation decreases from %d to %d",
 				newest, after.Generations[len(after.Generations)-1].Number))
 		}
 		if !slices.ContainsFunc(before.Generations, func(earlier Generation) bool {
-			_, kept := generationNumbered(after, earlier.Number)
+			_, kept := findGeneration(after, earlier.Number)
 			return kept
 		}) {
-			warnings = append(warnings, "no generation is kept; requests under way finish on the old one, but a new one that is not loaded yet answers nothing")
+			warnings = append(warnings, "no generation is kept; requests in flight finish on the old one, but a new one can't answer requests until it is loaded")
 		}
 	}
 	return warnings
 }
 
-func generationNumbered(service *Service, number uint32) (Generation, bool) {
+func findGeneration(service *Service, number uint32) (Generation, bool) {
 	return lo.Find(service.Generations, func(generation Generation) bool { return generation.Number == number })
 }
 
-// shardKey names a shard across plans.
+// shardKey identifies a shard across plans.
 type shardKey struct {
 	generation uint32
 	name       string
@@ -193,8 +194,8 @@
 		if inBefore && inAfter && slices.Equal(oldShard.Replicas, newShard.Replicas) {
 			continue
 		}
-		difference := ShardDifference{Generation: key.generation, Name: key.name, Presence: presenceOf(inBefore, inAfter)}
-		difference.addReplicas(oldShard.Replicas, newShard.Replicas)
+		difference := ShardDifference{Generation: key.generation, Name: key.name, Change: changeKindOf(inBefore, inAfter)}
+		difference.addReplicaDifferences(oldShard.Replicas, newShard.Replicas)
 		differences = append(differences, difference)
 	}
 	return differences
@@ -212,20 +213,20 @@
 	return shards, order
 }
 
-func (d *ShardDifference) addReplicas(before, after []Replica) {
+func (d *ShardDifference) addReplicaDifferences(before, after []Replica) {
 	earlier := lo.KeyBy(before, func(replica Replica) netip.AddrPort { return replica.Address })
 	for _, replica := range after {
-		known, found := earlier[replica.Address]
+		previous, found := earlier[replica.Address]
 		switch {
 		case !found:
 			d.AddedReplicas = append(d.AddedReplicas, replica.Address)
-		case known != replica:
+		case previous != replica:
 			d.ChangedReplicas = append(d.ChangedReplicas, replica.Address)
 		}
 		delete(earlier, replica.Address)
 	}
 	for _, replica := range before {
-		if _, gone := earlier[replica.Address]; gone {
+		if _, removed := earlier[replica.Address]; removed {
 			d.RemovedReplicas = append(d.RemovedReplicas, replica.Address)
 		}
 	}
@@ -234,8 +235,8 @@
 func diffRoute(before, after *Plan, name string) (RouteDifference, bool) {
 	earlier, inBefore := before.RouteNamed(name)
 	later, inAfter := after.RouteNamed(name)
-	difference := RouteDifference{Name: name, Presence: presenceOf(inBefore, inAfter)}
-	if difference.Presence != Changed {
+	difference := RouteDifference{Name: name, Change: changeKindOf(inBefore, inAfter)}
+	if difference.Change != Changed {
 		return difference, true
 	}
 	if routesEqual(*earlier, *later) {
--- a/internal/plan/diff_text.go
+++ b/internal/plan/diff_text.go
@@ -9,8 +9,8 @@
 	"github.com/samber/lo"
 )
 
-// Lines describes the difference for a person, one fact a line; indented lines
-// belong to the thing above them.
+// Lines returns a human-readable description, one change per line. Indented
+// lines give details of the item above them.
 func (d Difference) Lines() []string {
 	if d.Empty() {
 		return []string{"no change"}
@@ -25,11 +25,11 @@
 	return append(lines, d.summary())
 }
 
-func settingLines(what string, differences []RouteDifference) []string {
+func settingLines(kind string, differences []RouteDifference) []string {
 	var lines []string
-	for _, one := range differences {
-		lines = append(lines, fmt.Sprintf("%s %s %s", what, one.Name, one.Presence))
-		for _, changed := range one.Settings {
+	for _, difference := range differences {
+		lines = append(lines, fmt.Sprintf("%s %s %s", kind, difference.Name, difference.Change))
+		for _, changed := range difference.Settings {
 			lines = append(lines, "  "+changed)
 		}
 	}
@@ -37,7 +37,7 @@
 }
 
 func (d ServiceDifference) lines() []string {
-	lines := []string{fmt.Sprintf("service %s %s", d.Name, d.Presence)}
+	lines := []string{fmt.Sprintf("service %s %s", d.Name, d.Change)}
 	for _, changed := range d.Settings {
 		lines = append(lines, "  "+changed)
 	}
@@ -54,13 +54,13 @@
 	return lines
 }
 
-// maxShardLines bounds the lines for the groups of one service.
+// maxShardLines bounds the lines printed for the groups of one service.
 const maxShardLines = 20
 
-// shardLines describes the groups one by one; of a service that is new or gone
-// it only gives their number.
+// shardLines describes each changed group. For an added or removed service it
+// returns only the number of groups.
 func (d ServiceDifference) shardLines() []string {
-	if d.Presence != Changed {
+	if d.Change != Changed {
 		return []string{fmt.Sprintf("  %d groups", len(d.Shards))}
 	}
 	var lines []string
@@ -74,7 +74,7 @@
 }
 
 func (d ShardDifference) line() string {
-	line := fmt.Sprintf("generation %d group %s %s", d.Generation, d.Name, d.Presence)
+	line := fmt.Sprintf("generation %d group %s %s", d.Generation, d.Name, d.Change)
 	for _, part := range []struct {
 		sign     string
 		replicas []netip.AddrPort
@@ -86,7 +86,7 @@
 	return line
 }
 
-// summary counts what the difference touches.
+// summary counts the services, groups, replicas and routes that differ.
 func (d Difference) summary() string {
 	routes := lo.Map(slices.Concat(d.Routes, d.RemoteRoutes), func(route RouteDifference, _ int) string { return route.Name })
 	shards, replicas, connections := 0, 0, 0
--- a/internal/plan/equal.go
+++ b/internal/plan/equal.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Equal reports whether two plans mean the same. Source lines of statements
-// don't count: they move whenever the text above them does.
+// Equal reports whether two plans are equivalent. It ignores the source lines of
+// statements, which shift whenever the text above them changes.
 func Equal(left, right *Plan) bool {
 	return slices.EqualFunc(left.Services, right.Services, servicesEqual) &&
 		slices.EqualFunc(left.Routes, right.Routes, routesEqual) &&
@@ -16,14 +16,14 @@
 }
 
 func servicesEqual(left, right Service) bool {
-	return settingsEqual(left, right) &&
+	return serviceSettingsEqual(left, right) &&
 		slices.EqualFunc(left.Generations, right.Generations, func(a, b Generation) bool {
-			return a.Number == b.Number && (sameList(a.Shards, b.Shards) || slices.EqualFunc(a.Shards, b.Shards, shardsEqual))
+			return a.Number == b.Number && (sameBackingArray(a.Shards, b.Shards) || slices.EqualFunc(a.Shards, b.Shards, shardsEqual))
 		})
 }
 
-// settingsEqual compares all of a service but its generations.
-func settingsEqual(left, right Service) bool {
+// serviceSettingsEqual compares two services except for their generations.
+func serviceSettingsEqual(left, right Service) bool {
 	return left.Name == right.Name &&
 		left.HedgeBudget == right.HedgeBudget &&
 		left.RetryBudget == right.RetryBudget &&
@@ -33,7 +33,7 @@
 
 func shardsEqual(left, right Shard) bool {
 	return left.ID == right.ID && left.Name == right.Name &&
-		(sameList(left.Replicas, right.Replicas) || slices.Equal(left.Replicas, right.Replicas))
+		(sameBackingArray(left.Replicas, right.Replicas) || slices.Equal(left.Replicas, right.Replicas))
 }
 
 func routesEqual(left, right Route) bool {
--- a/internal/plan/pack.go
+++ b/internal/plan/pack.go
@@ -11,13 +11,14 @@
 	v1 "github.com/martenstage/martenstage/internal/gen/martenstage/v1"
 )
 
-// maxUnpackedBytes bounds an encoded plan. One of 57,000 replicas has 2 MB.
+// maxUnpackedBytes bounds the decompressed size of an encoded plan. A plan with
+// 57,000 replicas takes 2 MB.
 const maxUnpackedBytes = 64 << 20
 
-// Pack encodes and compresses a plan, so that a server does this work once and
-// not for each of its followers.
-func Pack(whole *Plan) ([]byte, error) {
-	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(ToProto(whole))
+// Pack encodes and compresses a plan, so that a server does this once instead of
+// for each of its followers.
+func Pack(p *Plan) ([]byte, error) {
+	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(ToProto(p))
 	if err != nil {
 		return nil, errors.Wrap(err, "encode a plan")
 	}
@@ -32,7 +33,8 @@
 	return packed.Bytes(), nil
 }
 
-// Unpack reverses Pack and checks the plan as FromProto does.
+// Unpack reverses Pack. Like FromProto it only rejects malformed values; Validate
+// checks the rest.
 func Unpack(packed []byte) (*Plan, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
--- a/internal/plan/pack_test.go
+++ b/internal/plan/pack_test.go
@@ -7,16 +7,16 @@
 	"pgregory.net/rapid"
 )
 
-func TestPackedPlanIsTheSamePlan(t *testing.T) {
+func TestPackRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole := drawPlan(t, "whole")
-		packed, err := Pack(whole)
+		original := drawPlan(t, "original")
+		packed, err := Pack(original)
 		require.NoError(t, err)
 		unpacked, err := Unpack(packed)
 		require.NoError(t, err)
-		require.True(t, Equal(whole, unpacked))
+		require.True(t, Equal(original, unpacked))
 		cut := rapid.IntRange(0, len(packed)-1).Draw(t, "cut")
 		_, err = Unpack(packed[:cut])
-		require.Error(t, err, "a plan that was cut off is refused")
+		require.Error(t, err, "a truncated plan must be rejected")
 	})
 }
--- a/internal/plan/placements.go
+++ b/internal/plan/placements.go
@@ -3,7 +3,7 @@
 import "iter"
 
 // Placement is one replica with the shard, generation and service that it
-// stands in.
+// belongs to.
 type Placement struct {
 	Service    *Service
 	Generation *Generation
@@ -12,8 +12,8 @@
 }
 
 // Placements yields every replica of the plan in the plan's order. A server
-// that holds several shards, as while a service is repartitioned, comes once
-// for each.
+// that holds several shards, such as during a repartitioning, is yielded once
+// per shard.
 func (p *Plan) Placements() iter.Seq[Placement] {
 	return func(yield func(Placement) bool) {
 		for s := range p.Services {
@@ -24,7 +24,8 @@
 	}
 }
 
-// placements reports whether yield wants more.
+// placements yields the replicas of one service. It returns false once yield has
+// asked to stop.
 func (s *Service) placements(yield func(Placement) bool) bool {
 	for g := range s.Generations {
 		generation := &s.Generations[g]
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -1,8 +1,9 @@
 // Package plan holds the compiled form of a configuration: services with their
-// shard maps, and routes with their policies. The compiler produces it from
-// text, it travels to every router as protobuf, and routers never see text.
+// shard maps, and routes with their policies. The compiler builds it from the
+// configuration text. Routers receive it as protobuf and never read the text.
 //
-// All values are plain data. A Plan is immutable once built; share it freely.
+// All values are plain data. A Plan is immutable once built and can be shared
+// between goroutines.
 package plan
 
 import (
@@ -17,31 +18,30 @@
 	Routes   []Route
 	// Regions are the other regions that remote routes lead to.
 	Regions []Region
-	// RemoteRoutes are the routes that other regions own. No name stands in
+	// RemoteRoutes are the routes that other regions own. No name occurs in
 	// both Routes and RemoteRoutes.
 	RemoteRoutes []RemoteRoute
 }
 
-// Region is another region, which has a control group and a configuration of
-// its own.
+// Region is another region, with its own control group and configuration.
 type Region struct {
 	Name string
-	// Entries are the routers of the region that take requests for its routes,
-	// sorted. They are addresses for routers, not for callers.
+	// Entries are the addresses of the region's entry routers, sorted. Routers of
+	// other regions use them; callers do not.
 	Entries []netip.AddrPort
 }
 
-// RemoteRoute is a route that another region owns under the same name. All
-// that decides the request, such as its policy, is in that region's
-// configuration; this is what the near side must know by itself.
+// RemoteRoute is a route that another region owns under the same name. The
+// owning region's configuration holds its policy; RemoteRoute holds only the
+// settings that the forwarding region needs.
 type RemoteRoute struct {
 	Name   string
 	Region string
-	// Deadline bounds the wait for the region's answer. The owning route's own
-	// deadline holds as well.
+	// Deadline bounds the wait for the owning region's answer. The deadline of the
+	// route in that region applies as well.
 	Deadline time.Duration
-	// Repeatable allows offering a request to another entry when it may have
-	// run. Without it a request is offered again only on proof that it did not.
+	// Repeatable allows resending a request to another entry router if it may
+	// have run. Otherwise it is resent only on proof that it did not run.
 	Repeatable bool
 }
 
@@ -49,26 +49,27 @@
 type Service struct {
 	Name string
 	// Generations are the live shard maps, oldest first: one in steady state,
-	// two while the service is repartitioned. An answer lies in exactly one.
+	// two while the service is repartitioned. An answer uses exactly one.
 	Generations []Generation
-	// HedgeBudget pays for hedges, RetryBudget for retries.
+	// HedgeBudget limits hedges, RetryBudget limits retries.
 	HedgeBudget Budget
 	RetryBudget Budget
 	// CellRouters is the number of routers that may connect to the service's
 	// back ends. 0 means every router.
 	CellRouters int
-	// ColdStart is how long a replica's share of work ramps up after it was
+	// ColdStart is how long a replica's share of requests ramps up after it is
 	// first seen ready. 0 means no ramp.
 	ColdStart time.Duration
 }
 
-// Generation is one shard map of a service. Numbers only go up.
+// Generation is one shard map of a service. Each new generation has a higher
+// number than the one before it.
 type Generation struct {
 	Number uint32
 	Shards []Shard
 }
 
-// Shard is one part of the index, held by each of its replicas in full.
+// Shard is one part of the index. Each of its replicas holds all of that part.
 // The configuration language calls it a group.
 type Shard struct {
 	// ID is the shard's index within its generation.
@@ -81,14 +82,14 @@
 type Replica struct {
 	Address netip.AddrPort
 	Zone    string
-	// Slots is how many queries the server executes at once.
+	// Slots is the number of queries that the server executes concurrently.
 	Slots int
-	// Connections is the server's connection limit over all routers.
+	// Connections is the server's connection limit, summed over all routers.
 	Connections int
 }
 
-// Budget is a token bucket fed by first attempts: every first attempt earns
-// Ratio tokens up to Burst, every extra attempt spends one.
+// Budget is a token bucket that limits extra attempts. Each first attempt adds
+// Ratio tokens, up to Burst; each extra attempt takes one.
 type Budget struct {
 	Ratio float64
 	Burst float64
@@ -103,19 +104,19 @@
 	Policy Policy
 }
 
-// Target says which shards of a service a request needs.
+// Target selects the shards of a service that a request is sent to.
 type Target uint8
 
 // Targets.
 const (
-	// TargetAll scatters to every shard of the pinned generation.
+	// TargetAll selects every shard of the pinned generation.
 	TargetAll Target = iota + 1
-	// TargetKey sends to the one shard that the request's key hashes to.
+	// TargetKey selects the one shard that the request's key hashes to.
 	TargetKey
 )
 
 // Priority is the admission class of a route. Under overload, lower classes
-// are refused first.
+// are rejected first.
 type Priority uint8
 
 // Priorities, lowest first.
@@ -130,66 +131,67 @@
 	Name     string
 	Priority Priority
 	// Deadline bounds the whole request, measured from admission. A caller may
-	// ask for less, never for more.
+	// request a shorter one, never a longer one.
 	Deadline time.Duration
-	// Once marks a request that must run at most once: it is claimed before
-	// dispatch and never hedged, and retried only on a proof of "not run".
+	// Once marks requests that must run at most once: they are claimed before
+	// dispatch, never hedged, and retried only on proof that they did not run.
 	Once bool
 	// ClaimExpiry is how long the claim of a Once request is kept.
 	ClaimExpiry time.Duration
-	// Hedge and Retry bound the extra attempts. Zero values switch them off.
+	// Hedge and Retry bound the extra attempts. Zero values disable them.
 	Hedge Hedge
 	Retry Retry
-	// SnapshotCoverage is the least share of shards, in [0,1], that must be
+	// SnapshotCoverage is the minimum share of shards, in (0,1], that must be
 	// able to serve an index version for it to be pinned; 1 means every shard.
 	SnapshotCoverage float64
 	// Statements are evaluated in order at every event; the first whose
-	// condition holds decides. The compiler guarantees that one holds
-	// unconditionally at a time before the deadline.
+	// condition holds decides the request. The compiler guarantees that one holds
+	// unconditionally at some time before the deadline.
 	Statements []Statement
 	Merge      Merge
 }
 
 // Hedge says when a second attempt is sent to another replica of a shard
-// while the first is still out.
+// while the first is still in flight.
 type Hedge struct {
-	// Quantile of the shard's recent latency, in (0,1). 0 switches it off.
+	// Quantile of the shard's recent latency, in (0,1), after which the hedge is
+	// sent. 0 disables hedging.
 	Quantile float64
-	// Least and Most bound the delay whatever the quantile says.
+	// Lower and upper bound of the delay derived from the quantile.
 	Least time.Duration
 	Most  time.Duration
 	// MaxPerShard bounds hedges per shard and request.
 	MaxPerShard int
 }
 
-// Retry says how often a failed attempt of a shard is sent again.
+// Retry limits how often a failed attempt on a shard is retried.
 type Retry struct {
 	MaxPerShard int
-	// Backoff is the least pause before a retry on the same replica.
+	// Backoff is the minimum delay before a retry on the same replica.
 	Backoff time.Duration
 }
 
 // Statement is one line of a policy program.
 type Statement struct {
-	// Condition holds or does not hold at a moment of the request.
+	// Condition must hold for Action to be taken.
 	Condition Condition
 	Action    Action
-	// Line is the source line, for explanations.
+	// Line is the source line, used in explanations.
 	Line int
 }
 
-// Action is what a policy statement decides.
+// Action is the decision of a policy statement.
 type Action uint8
 
 // Actions.
 const (
-	// ActionAnswer answers with the parts that are there.
+	// ActionAnswer answers with the shard parts received so far.
 	ActionAnswer Action = iota + 1
-	// ActionFail gives up and answers an error, at once.
+	// ActionFail answers with an error immediately.
 	ActionFail
 )
 
-// ConditionKind selects the meaning of a Condition.
+// ConditionKind is the type of a Condition.
 type ConditionKind uint8
 
 // Condition kinds.
@@ -209,7 +211,7 @@
 	ConditionCoverage
 	// ConditionCovered holds when every shard named in Shards is covered.
 	ConditionCovered
-	// ConditionSettled holds when no attempt is out and none will be sent.
+	// ConditionSettled holds when no attempt is in flight and none will be sent.
 	ConditionSettled
 )
 
@@ -222,7 +224,7 @@
 	Shards   []string
 }
 
-// MergeKind selects how shard parts become one answer.
+// MergeKind is the method that combines shard parts into one answer.
 type MergeKind uint8
 
 // Merge kinds.
@@ -233,7 +235,7 @@
 	MergeTop
 )
 
-// Merge says how shard parts become one answer.
+// Merge defines how shard parts are combined into one answer.
 type Merge struct {
 	Kind       MergeKind
 	Limit      int
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -16,8 +16,8 @@
 	martenstagev1 "github.com/martenstage/martenstage/internal/gen/martenstage/v1"
 )
 
-// drawPlan draws a valid plan. Names come from small sets, so that two plans
-// drawn in one test share services, shards and routes.
+// drawPlan generates a valid plan. Names come from small sets, so that two plans
+// generated in one test share services, shards and routes.
 func drawPlan(t *rapid.T, label string) *Plan {
 	drawn := &Plan{}
 	for _, name := range drawNames(t, label+" services", "s", 1) {
@@ -38,12 +38,13 @@
 		service := rapid.SampledFrom(drawn.Services).Draw(t, "service")
 		drawn.Routes = append(drawn.Routes, Route{Name: name, Service: service.Name, Target: TargetAll, Policy: drawPolicy(t)})
 	}
-	drawRemote(t, label, drawn)
+	drawRegionsAndRemoteRoutes(t, label, drawn)
 	return drawn
 }
 
-// drawRemote adds other regions and, if there are any, routes to them.
-func drawRemote(t *rapid.T, label string, drawn *Plan) {
+// drawRegionsAndRemoteRoutes adds other regions and, if there are any, routes
+// to them.
+func drawRegionsAndRemoteRoutes(t *rapid.T, label string, drawn *Plan) {
 	for _, name := range drawNames(t, label+" regions", "n", 0) {
 		region := Region{Name: name}
 		for number := range rapid.IntRange(1, 3).Draw(t, "entries") {
@@ -64,8 +65,8 @@
 	}
 }
 
-func drawNames(t *rapid.T, label, prefix string, least int) []string {
-	numbers := rapid.SliceOfNDistinct(rapid.IntRange(1, 5), least, 4, rapid.ID).Draw(t, label)
+func drawNames(t *rapid.T, label, prefix string, minCount int) []string {
+	numbers := rapid.SliceOfNDistinct(rapid.IntRange(1, 5), minCount, 4, rapid.ID).Draw(t, label)
 	slices.Sort(numbers)
 	names := make([]string, 0, len(numbers))
 	for _, number := range numbers {
@@ -117,31 +118,32 @@
 	return Condition{Kind: rapid.SampledFrom([]ConditionKind{ConditionAll, ConditionAny}).Draw(t, "kind"), Operands: operands}
 }
 
-// overTheWire sends a message through its encoding, as control does.
-func overTheWire[Message proto.Message](t require.TestingT, message, empty Message) Message {
+// encodeAndDecode decodes the encoding of a message into target, as happens
+// between the control group and routers.
+func encodeAndDecode[Message proto.Message](t require.TestingT, message, target Message) Message {
 	encoded, err := proto.Marshal(message)
 	require.NoError(t, err)
-	require.NoError(t, proto.Unmarshal(encoded, empty))
-	return empty
+	require.NoError(t, proto.Unmarshal(encoded, target))
+	return target
 }
 
 func TestProtoRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drawn := drawPlan(t, "plan")
 		require.NoError(t, Validate(drawn))
-		read, err := FromProto(overTheWire(t, ToProto(drawn), &martenstagev1.Plan{}))
+		read, err := FromProto(encodeAndDecode(t, ToProto(drawn), &martenstagev1.Plan{}))
 		require.NoError(t, err)
 		require.Equal(t, drawn, read)
 	})
 }
 
-// TestDeltaLeadsToNextPlan checks that base plus delta is the next plan, that
-// the base stays as it was, and that a delta between equal plans is empty.
-func TestDeltaLeadsToNextPlan(t *testing.T) {
+// TestApplyDeltaGivesNextPlan checks that applying the delta to base gives the next
+// plan, that base is not modified, and that a delta between equal plans is empty.
+func TestApplyDeltaGivesNextPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base, next := drawPlan(t, "base"), drawPlan(t, "next")
 		before := proto.Clone(ToProto(base))
-		delta := overTheWire(t, Delta(base, next), &martenstagev1.PlanDelta{})
+		delta := encodeAndDecode(t, Delta(base, next), &martenstagev1.PlanDelta{})
 		applied, err := ApplyDelta(base, delta)
 		require.NoError(t, err)
 		require.True(t, Equal(next, applied))
@@ -152,7 +154,7 @@
 	})
 }
 
-func TestDeltaForAnotherBaseIsRefused(t *testing.T) {
+func TestApplyDeltaRejectsAnotherBase(t *testing.T) {
 	base := &Plan{Services: []Service{{Name: "s", Generations: []Generation{{Number: 3}}}}}
 	shards := func(changes *martenstagev1.ShardChanges) *martenstagev1.PlanDelta {
 		return &martenstagev1.PlanDelta{ChangedShards: []*martenstagev1.ShardChanges{changes}}
@@ -174,7 +176,7 @@
 	}
 }
 
-// examplePlan is a small valid plan for tests that change one thing of it.
+// examplePlan returns a small valid plan for tests that modify one part of it.
 func examplePlan() *Plan {
 	replica := func(address string) Replica {
 		return Replica{Address: netip.MustParseAddrPort(address), Zone: "a", Slots: 2, Connections: 70}
@@ -199,7 +201,7 @@
 	}
 }
 
-func TestValidateRefuses(t *testing.T) {
+func TestValidateRejectsInvalidPlans(t *testing.T) {
 	cases := map[string]func(*Plan){
 		"sorted by unique names":    func(p *Plan) { p.Services = append(p.Services, p.Services[0]) },
 		"0 generations":             func(p *Plan) { p.Services[0].Generations = nil },
@@ -231,7 +233,7 @@
 		"no entry router":           func(p *Plan) { p.Regions[0].Entries = nil },
 		"not sorted or stands":      func(p *Plan) { p.Regions[0].Entries[1] = p.Regions[0].Entries[0] },
 		"entry router invalid":      func(p *Plan) { p.Regions[0].Entries[0] = netip.AddrPort{} },
-		"condition nested too deep": func(p *Plan) { p.Routes[0].Policy.Statements[0].Condition = nested(maxConditionDepth + 1) },
+		"condition nested too deep": func(p *Plan) { p.Routes[0].Policy.Statements[0].Condition = nestedCondition(maxConditionDepth + 1) },
 	}
 	require.NoError(t, Validate(examplePlan()))
 	for want, change := range cases {
@@ -241,7 +243,7 @@
 	}
 }
 
-func nested(depth int) Condition {
+func nestedCondition(depth int) Condition {
 	condition := Condition{Kind: ConditionSettled}
 	for range depth {
 		condition = Condition{Kind: ConditionNot, Operands: []Condition{condition}}
@@ -249,7 +251,7 @@
 	return condition
 }
 
-func TestDiffNamesWhatAChangeTouches(t *testing.T) {
+func TestDiffLines(t *testing.T) {
 	after := examplePlan()
 	shards := after.Services[0].Generations[0].Shards
 	shards[1].Replicas = append(shards[1].Replicas, Replica{Address: netip.MustParseAddrPort("127.0.0.4:1"), Slots: 2, Connections: 30})
@@ -275,7 +277,7 @@
 	require.Equal(t, []string{"no change"}, Diff(examplePlan(), after).Lines())
 }
 
-func TestDiffNamesRegionsAndRemoteRoutes(t *testing.T) {
+func TestDiffLinesOfRegionsAndRemoteRoutes(t *testing.T) {
 	after := examplePlan()
 	after.Regions[0].Entries = after.Regions[0].Entries[:1]
 	after.RemoteRoutes[0].Repeatable = true
@@ -289,10 +291,11 @@
 touches 0 services, 0 groups, 0 replicas, 2 routes; connections +0`), "\n"), Diff(examplePlan(), after).Lines())
 }
 
-// TestPlansOfBeforeRegionsAreRead holds a plan in the encoding of the versions
-// that knew no regions: it reads as it did, and is written as it was.
-func TestPlansOfBeforeRegionsAreRead(t *testing.T) {
-	encoded, err := hex.DecodeString(planBeforeRegions)
+// TestPlanEncodedWithoutRegions checks that a plan encoded by a version that did
+// not support regions decodes correctly, and that a plan without regions still
+// has the same encoding.
+func TestPlanEncodedWithoutRegions(t *testing.T) {
+	encoded, err := hex.DecodeString(encodedPlanWithoutRegions)
 	require.NoError(t, err)
 	message := &martenstagev1.Plan{}
 	require.NoError(t, proto.Unmarshal(encoded, message))
--- a/internal/plan/proto.go
+++ b/internal/plan/proto.go
@@ -12,7 +12,8 @@
 	martenstagev1 "github.com/martenstage/martenstage/internal/gen/martenstage/v1"
 )
 
-// ToProto returns the plan as it travels from control to routers.
+// ToProto returns the plan as the protobuf message that the control group sends
+// to routers.
 func ToProto(p *Plan) *martenstagev1.Plan {
 	return &martenstagev1.Plan{
 		Services: lo.Map(p.Services, func(service Service, _ int) *martenstagev1.Service { return serviceToProto(service) }),
@@ -24,18 +25,19 @@
 	}
 }
 
-// FromProto reads a plan that ToProto wrote. It returns an error for values
-// that no plan can hold, such as a malformed address; Validate checks the rest.
+// FromProto converts a message that ToProto returned. It returns an error for
+// values that a Plan can't represent, such as a malformed address; Validate
+// checks the rest.
 func FromProto(message *martenstagev1.Plan) (*Plan, error) {
 	reader := newProtoReader()
-	read := &Plan{
-		Services: mapped(message.GetServices(), reader.service),
-		Routes:   mapped(message.GetRoutes(), reader.route),
-		Regions:  mapped(message.GetRegions(), reader.region),
+	result := &Plan{
+		Services: convertList(message.GetServices(), reader.service),
+		Routes:   convertList(message.GetRoutes(), reader.route),
+		Regions:  convertList(message.GetRegions(), reader.region),
 
-		RemoteRoutes: mapped(message.GetRemoteRoutes(), remoteRouteFromProto),
+		RemoteRoutes: convertList(message.GetRemoteRoutes(), remoteRouteFromProto),
 	}
-	return read, reader.err
+	return result, reader.err
 }
 
 func serviceToProto(service Service) *martenstagev1.Service {
@@ -68,7 +70,7 @@
 	})
 }
 
-// budgetToProto leaves out an empty budget.
+// budgetToProto returns nil for an empty budget, which omits it from the message.
 func budgetToProto(budget Budget) *martenstagev1.Budget {
 	if budget == (Budget{}) {
 		return nil
@@ -76,7 +78,7 @@
 	return &martenstagev1.Budget{Ratio: budget.Ratio, Burst: budget.Burst}
 }
 
-// durationToProto leaves out a duration of 0.
+// durationToProto returns nil for a duration of 0, which omits it from the message.
 func durationToProto(duration time.Duration) *durationpb.Duration {
 	if duration == 0 {
 		return nil
@@ -137,19 +139,19 @@
 	}
 }
 
-// protoReader converts messages to plan values and keeps the first error.
+// protoReader converts protobuf messages to plan values and keeps the first error.
 type protoReader struct {
 	err error
-	// zones holds one copy of each zone name, which would otherwise be stored
-	// once for each replica.
+	// zones interns zone names, which would otherwise be stored once for each
+	// replica.
 	zones map[string]string
 }
 
 func newProtoReader() *protoReader { return &protoReader{zones: map[string]string{}} }
 
-// mapped converts each element; an empty list stays nil, as compiled plans
-// have it.
-func mapped[From, To any](list []From, convert func(From) To) []To {
+// convertList converts each element. It returns nil for an empty list, as in
+// compiled plans.
+func convertList[From, To any](list []From, convert func(From) To) []To {
 	if len(list) == 0 {
 		return nil
 	}
@@ -169,8 +171,8 @@
 func (r *protoReader) service(message *martenstagev1.Service) Service {
 	return Service{
 		Name: message.GetName(),
-		Generations: mapped(message.GetGenerations(), func(generation *martenstagev1.Generation) Generation {
-			return Generation{Number: generation.GetNumber(), Shards: mapped(generation.GetShards(), r.shard)}
+		Generations: convertList(message.GetGenerations(), func(generation *martenstagev1.Generation) Generation {
+			return Generation{Number: generation.GetNumber(), Shards: convertList(generation.GetShards(), r.shard)}
 		}),
 		HedgeBudget: budgetFromProto(message.GetHedgeBudget()),
 		RetryBudget: budgetFromProto(message.GetRetryBudget()),
@@ -184,7 +186,7 @@
 }
 
 func (r *protoReader) shard(message *martenstagev1.Shard) Shard {
-	return Shard{ID: message.GetId(), Name: message.GetName(), Replicas: mapped(message.GetReplicas(), r.replica)}
+	return Shard{ID: message.GetId(), Name: message.GetName(), Replicas: convertList(message.GetReplicas(), r.replica)}
 }
 
 func (r *protoReader) replica(message *martenstagev1.Replica) Replica {
@@ -209,15 +211,15 @@
 	return Route{
 		Name:    message.GetName(),
 		Service: message.GetService(),
-		Target:  Target(r.enumeration("target", message.GetTarget())),
+		Target:  Target(r.enumValue("target", message.GetTarget())),
 		Policy:  r.policy(message.GetPolicy()),
 	}
 }
 
-// enumeration refuses numbers that would wrap around in a plan's types.
-func (r *protoReader) enumeration(what string, value uint32) uint8 {
+// enumValue rejects numbers that would overflow the uint8 enumerations of a plan.
+func (r *protoReader) enumValue(kind string, value uint32) uint8 {
 	if value > math.MaxUint8 {
-		r.fail(errors.Newf("unknown %s %d", what, value))
+		r.fail(errors.Newf("unknown %s %d", kind, value))
 		return 0
 	}
 	return uint8(value)
@@ -227,7 +229,7 @@
 	hedge, retry, merge := message.GetHedge(), message.GetRetry(), message.GetMerge()
 	return Policy{
 		Name:        message.GetName(),
-		Priority:    Priority(r.enumeration("priority", message.GetPriority())),
+		Priority:    Priority(r.enumValue("priority", message.GetPriority())),
 		Deadline:    message.GetDeadline().AsDuration(),
 		Once:        message.GetOnce(),
 		ClaimExpiry: message.GetClaimExpiry().AsDuration(),
@@ -239,15 +241,15 @@
 		},
 		Retry:            Retry{MaxPerShard: int(retry.GetMaxPerShard()), Backoff: retry.GetBackoff().AsDuration()},
 		SnapshotCoverage: message.GetSnapshotCoverage(),
-		Statements: mapped(message.GetStatements(), func(statement *martenstagev1.Statement) Statement {
+		Statements: convertList(message.GetStatements(), func(statement *martenstagev1.Statement) Statement {
 			return Statement{
 				Condition: r.condition(statement.GetCondition()),
-				Action:    Action(r.enumeration("action", statement.GetAction())),
+				Action:    Action(r.enumValue("action", statement.GetAction())),
 				Line:      int(statement.GetLine()),
 			}
 		}),
 		Merge: Merge{
-			Kind:       MergeKind(r.enumeration("merge kind", merge.GetKind())),
+			Kind:       MergeKind(r.enumValue("merge kind", merge.GetKind())),
 			Limit:      int(merge.GetLimit()),
 			Field:      merge.GetField(),
 			Descending: merge.GetDescending(),
@@ -257,10 +259,10 @@
 
 func (r *protoReader) condition(message *martenstagev1.Condition) Condition {
 	return Condition{
-		Kind:     ConditionKind(r.enumeration("condition kind", message.GetKind())),
-		Operands: mapped(message.GetOperands(), r.condition),
+		Kind:     ConditionKind(r.enumValue("condition kind", message.GetKind())),
+		Operands: convertList(message.GetOperands(), r.condition),
 		Duration: message.GetDuration().AsDuration(),
 		Ratio:    message.GetRatio(),
-		Shards:   mapped(message.GetShards(), func(name string) string { return name }),
+		Shards:   convertList(message.GetShards(), func(name string) string { return name }),
 	}
 }
--- a/internal/plan/remote.go
+++ b/internal/plan/remote.go
@@ -14,9 +14,9 @@
 
 func remoteRouteName(route RemoteRoute) string { return route.Name }
 
-// validateRemote checks other regions and the routes to them.
+// validateRemote checks the other regions and the routes to them.
 func validateRemote(p *Plan) error {
-	if !isSorted(p.Regions, regionName) || !isSorted(p.RemoteRoutes, remoteRouteName) {
+	if !hasSortedUniqueNames(p.Regions, regionName) || !hasSortedUniqueNames(p.RemoteRoutes, remoteRouteName) {
 		return errors.New("regions or remote routes are not sorted by unique names")
 	}
 	for _, region := range p.Regions {
@@ -70,7 +70,7 @@
 func (r *protoReader) region(message *martenstagev1.Region) Region {
 	return Region{
 		Name: message.GetName(),
-		Entries: mapped(message.GetEntries(), func(text string) netip.AddrPort {
+		Entries: convertList(message.GetEntries(), func(text string) netip.AddrPort {
 			entry, err := netip.ParseAddrPort(text)
 			if err != nil {
 				r.fail(errors.Newf("entry router %q is not an IP address with a port", text))
@@ -87,8 +87,9 @@
 	}
 }
 
-// addRemote adds what changed of other regions and the routes to them.
-func addRemote(delta *martenstagev1.PlanDelta, base, next *Plan) {
+// addRemoteChanges adds the changes of other regions and remote routes to the
+// delta.
+func addRemoteChanges(delta *martenstagev1.PlanDelta, base, next *Plan) {
 	regions := lo.KeyBy(base.Regions, regionName)
 	for _, region := range next.Regions {
 		if earlier, found := regions[region.Name]; !found || !regionsEqual(earlier, region) {
@@ -107,45 +108,46 @@
 	delta.RemovedRemoteRoutes = sortedKeys(routes)
 }
 
-// applyRemote puts the changes of other regions and remote routes into next.
+// applyRemote sets the regions and remote routes of next to those of base with
+// the delta applied.
 func applyRemote(next, base *Plan, delta *martenstagev1.PlanDelta, reader *protoReader) (err error) {
-	next.Regions, err = replaced(base.Regions, namedChanges[Region]{
-		name: regionName, changed: mapped(delta.GetChangedRegions(), reader.region), removed: delta.GetRemovedRegions(),
+	next.Regions, err = applyNamedChanges(base.Regions, namedChanges[Region]{
+		name: regionName, changed: convertList(delta.GetChangedRegions(), reader.region), removed: delta.GetRemovedRegions(),
 	})
 	if err != nil {
 		return errors.Wrap(err, "regions of the delta")
 	}
-	next.RemoteRoutes, err = replaced(base.RemoteRoutes, namedChanges[RemoteRoute]{
+	next.RemoteRoutes, err = applyNamedChanges(base.RemoteRoutes, namedChanges[RemoteRoute]{
 		name:    remoteRouteName,
-		changed: mapped(delta.GetChangedRemoteRoutes(), remoteRouteFromProto),
+		changed: convertList(delta.GetChangedRemoteRoutes(), remoteRouteFromProto),
 		removed: delta.GetRemovedRemoteRoutes(),
 	})
 	return errors.Wrap(err, "remote routes of the delta")
 }
 
-// addRemote lists the other regions and remote routes that differ.
-func (d *Difference) addRemote(before, after *Plan) {
-	d.Regions = append(d.Regions, settingsThatDiffer(before.Regions, after.Regions, regionName, regionSettings)...)
+// addRemoteDifferences adds the other regions and remote routes that differ.
+func (d *Difference) addRemoteDifferences(before, after *Plan) {
+	d.Regions = append(d.Regions, diffSettings(before.Regions, after.Regions, regionName, regionSettings)...)
 	d.RemoteRoutes = append(d.RemoteRoutes,
-		settingsThatDiffer(before.RemoteRoutes, after.RemoteRoutes, remoteRouteName, remoteSettings)...)
+		diffSettings(before.RemoteRoutes, after.RemoteRoutes, remoteRouteName, remoteSettings)...)
 }
 
-// settingsThatDiffer compares what has the same name in two lists.
-func settingsThatDiffer[T any](before, after []T, nameOf func(T) string, settingsOf func(T) []setting) []RouteDifference {
+// diffSettings compares the items of two lists by name.
+func diffSettings[T any](before, after []T, nameOf func(T) string, settingsOf func(T) []setting) []RouteDifference {
 	earlier, later := lo.KeyBy(before, nameOf), lo.KeyBy(after, nameOf)
-	var found []RouteDifference
+	var differences []RouteDifference
 	for _, name := range unionOfNames(before, after, nameOf) {
 		_, inBefore := earlier[name]
 		_, inAfter := later[name]
-		one := RouteDifference{Name: name, Presence: presenceOf(inBefore, inAfter)}
-		if one.Presence == Changed {
-			one.Settings = changedSettings(settingsOf(earlier[name]), settingsOf(later[name]))
+		difference := RouteDifference{Name: name, Change: changeKindOf(inBefore, inAfter)}
+		if difference.Change == Changed {
+			difference.Settings = changedSettings(settingsOf(earlier[name]), settingsOf(later[name]))
 		}
-		if one.Presence != Changed || len(one.Settings) > 0 {
-			found = append(found, one)
+		if difference.Change != Changed || len(difference.Settings) > 0 {
+			differences = append(differences, difference)
 		}
 	}
-	return found
+	return differences
 }
 
 func regionSettings(region Region) []setting {
@@ -157,13 +159,13 @@
 	return []setting{
 		{"region", route.Region},
 		{"deadline", DurationText(route.Deadline)},
-		{"offered again", OfferText(route)},
+		{"offered again", ResendText(route)},
 	}
 }
 
-// OfferText says when a request of a remote route is offered to a second entry
+// ResendText describes when a request of a remote route is resent to another entry
 // router.
-func OfferText(route RemoteRoute) string {
+func ResendText(route RemoteRoute) string {
 	if route.Repeatable {
 		return "also when it may have run"
 	}
--- a/internal/plan/text.go
+++ b/internal/plan/text.go
@@ -9,14 +9,14 @@
 	"github.com/samber/lo"
 )
 
-// setting is one named value in the words of the configuration language.
+// setting is a setting's name and its value in configuration syntax.
 type setting struct {
 	name  string
 	value string
 }
 
-// changedSettings lists the settings whose values differ; both lists hold the
-// same names in the same order.
+// changedSettings describes the settings whose values differ. Both lists must
+// hold the same names in the same order.
 func changedSettings(before, after []setting) []string {
 	var changed []string
 	for index, earlier := range before {
@@ -59,8 +59,8 @@
 	}
 }
 
-// RepetitionText says whether requests under the policy may be repeated, in
-// the words of the configuration language.
+// RepetitionText returns in configuration syntax whether requests under the
+// policy may run more than once.
 func RepetitionText(policy Policy) string {
 	if policy.Once {
 		return "once for " + DurationText(policy.ClaimExpiry)
@@ -68,7 +68,8 @@
 	return "repeatable"
 }
 
-// DurationText writes a duration with the largest unit that needs no fraction.
+// DurationText formats a duration in the largest unit that needs no fraction.
+// Durations that are not whole seconds are given in milliseconds.
 func DurationText(duration time.Duration) string {
 	units := []struct {
 		size time.Duration
@@ -82,22 +83,22 @@
 	return strconv.FormatFloat(float64(duration)/float64(time.Millisecond), 'f', -1, 64) + "ms"
 }
 
-// PercentText writes a ratio as a percentage.
+// PercentText formats a ratio as a percentage.
 func PercentText(ratio float64) string { return percentDigits(ratio) + "%" }
 
-// percentDigits writes a ratio times 100. Rounding hides the error of the
-// multiplication, such as 0.07*100 = 7.000000000000001.
+// percentDigits formats a ratio times 100. Rounding hides the floating-point error
+// of the multiplication, such as 0.07*100 = 7.000000000000001.
 func percentDigits(ratio float64) string {
-	const digits = 10 // enough for every percentage a person writes
+	const digits = 10 // enough for every percentage in a configuration
 	return strings.TrimSuffix(strings.TrimRight(strconv.FormatFloat(ratio*100, 'f', digits, 64), "0"), ".")
 }
 
-// String returns the budget in the words of the configuration language.
+// String returns the budget in configuration syntax.
 func (b Budget) String() string {
 	return fmt.Sprintf("%s burst %s", PercentText(b.Ratio), strconv.FormatFloat(b.Burst, 'f', -1, 64))
 }
 
-// String returns the target in the words of the configuration language.
+// String returns the target in configuration syntax.
 func (t Target) String() string {
 	if t == TargetKey {
 		return "key"
@@ -105,7 +106,7 @@
 	return "all"
 }
 
-// String returns the class in the words of the configuration language.
+// String returns the class in configuration syntax.
 func (p Priority) String() string {
 	switch p {
 	case PriorityBatch:
@@ -117,7 +118,7 @@
 	}
 }
 
-// String returns the hedge in the words of the configuration language.
+// String returns the hedge in configuration syntax.
 func (h Hedge) String() string {
 	if h.Quantile == 0 || h.MaxPerShard == 0 {
 		return "off"
@@ -126,7 +127,7 @@
 		percentDigits(h.Quantile), DurationText(h.Least), DurationText(h.Most), h.MaxPerShard)
 }
 
-// String returns the retry in the words of the configuration language.
+// String returns the retry in configuration syntax.
 func (r Retry) String() string {
 	switch {
 	case r.MaxPerShard == 0:
@@ -138,7 +139,7 @@
 	}
 }
 
-// String returns the merge in the words of the configuration language.
+// String returns the merge in configuration syntax.
 func (m Merge) String() string {
 	if m.Kind != MergeTop {
 		return "concat"
@@ -150,7 +151,7 @@
 	return fmt.Sprintf("top %d by %s %s", m.Limit, m.Field, order)
 }
 
-// String returns the action in the words of the configuration language.
+// String returns the action in configuration syntax.
 func (a Action) String() string {
 	if a == ActionFail {
 		return "fail"
@@ -158,7 +159,7 @@
 	return "answer"
 }
 
-// String returns the statement in the words of the configuration language.
+// String returns the statement in configuration syntax.
 func (s Statement) String() string {
 	switch s.Condition.Kind {
 	case ConditionElapsed:
@@ -170,15 +171,15 @@
 	}
 }
 
-// String returns the condition in the words of the configuration language.
+// String returns the condition in configuration syntax.
 func (c Condition) String() string {
 	switch c.Kind {
 	case ConditionAll:
-		return c.joined(" and ")
+		return c.joinOperands(" and ")
 	case ConditionAny:
-		return c.joined(" or ")
+		return c.joinOperands(" or ")
 	case ConditionNot:
-		return c.negation()
+		return c.negationText()
 	case ConditionElapsed:
 		return "elapsed >= " + DurationText(c.Duration)
 	case ConditionCoverage:
@@ -192,7 +193,7 @@
 	}
 }
 
-func (c Condition) joined(separator string) string {
+func (c Condition) joinOperands(separator string) string {
 	return strings.Join(lo.Map(c.Operands, func(operand Condition, _ int) string {
 		if operand.Kind == ConditionAll || operand.Kind == ConditionAny {
 			return "(" + operand.String() + ")"
@@ -201,7 +202,7 @@
 	}), separator)
 }
 
-func (c Condition) negation() string {
+func (c Condition) negationText() string {
 	if len(c.Operands) != 1 {
 		return "not ()"
 	}
--- a/internal/plan/validate.go
+++ b/internal/plan/validate.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// maxLiveGenerations is the old and the new shard map of a repartitioning.
+	// maxLiveGenerations allows for the old and the new shard map during a
+	// repartitioning.
 	maxLiveGenerations = 2
-	// maxConditionDepth bounds the recursion over a condition that came over
-	// the wire. The compiler's own bound on nesting stays below it.
+	// maxConditionDepth bounds the recursion over a received condition. The
+	// compiler's own limit on nesting is lower.
 	maxConditionDepth = 2048
 )
 
-// Validate checks that a plan which came over the wire keeps the promises of
-// the types in this package, so that users of a plan need not check again.
-// The compiler's plans always pass. The error names the thing at fault.
+// Validate checks that a received plan satisfies the invariants documented on the
+// types of this package, so that users of the plan need not check them. Compiled
+// plans always pass. The error names the invalid item.
 func Validate(p *Plan) error {
-	if !isSorted(p.Services, func(service Service) string { return service.Name }) {
+	if !hasSortedUniqueNames(p.Services, func(service Service) string { return service.Name }) {
 		return errors.New("plan: services are not sorted by unique names")
 	}
-	if !isSorted(p.Routes, func(route Route) string { return route.Name }) {
+	if !hasSortedUniqueNames(p.Routes, func(route Route) string { return route.Name }) {
 		return errors.New("plan: routes are not sorted by unique names")
 	}
 	if err := validateRemote(p); err != nil {
@@ -41,8 +42,9 @@
 	return nil
 }
 
-// isSorted also refuses empty and equal names.
-func isSorted[Value any](values []Value, name func(Value) string) bool {
+// hasSortedUniqueNames reports whether values are sorted by name and all names
+// are unique and not empty.
+func hasSortedUniqueNames[Value any](values []Value, name func(Value) string) bool {
 	previous := ""
 	for _, value := range values {
 		if name(value) <= previous {
@@ -57,7 +59,7 @@
 	if count := len(service.Generations); count == 0 || count > maxLiveGenerations {
 		return errors.Newf("%d generations, not 1 or %d", count, maxLiveGenerations)
 	}
-	if !isBudget(service.HedgeBudget) || !isBudget(service.RetryBudget) {
+	if !isValidBudget(service.HedgeBudget) || !isValidBudget(service.RetryBudget) {
 		return errors.New("a budget has a ratio outside [0,1] or a negative burst")
 	}
 	if service.CellRouters < 0 || service.ColdStart < 0 {
@@ -77,7 +79,7 @@
 	return nil
 }
 
-func isBudget(budget Budget) bool {
+func isValidBudget(budget Budget) bool {
 	return budget.Ratio >= 0 && budget.Ratio <= 1 && budget.Burst >= 0 && !math.IsInf(budget.Burst, 1)
 }
 
@@ -127,7 +129,7 @@
 		return errors.New("at-most-once policy without a claim expiry, or with a hedge")
 	case !(policy.SnapshotCoverage > 0 && policy.SnapshotCoverage <= 1):
 		return errors.Newf("snapshot coverage %v is outside (0,1]", policy.SnapshotCoverage)
-	case !isHedge(policy.Hedge):
+	case !isValidHedge(policy.Hedge):
 		return errors.New("hedge out of bounds")
 	case policy.Retry.MaxPerShard < 0 || policy.Retry.Backoff < 0:
 		return errors.New("retry out of bounds")
@@ -137,12 +139,12 @@
 	return validateStatements(service, policy)
 }
 
-func isHedge(hedge Hedge) bool {
+func isValidHedge(hedge Hedge) bool {
 	return hedge.Quantile >= 0 && hedge.Quantile < 1 && hedge.Least >= 0 && hedge.Most >= hedge.Least && hedge.MaxPerShard >= 0
 }
 
-// validateStatements checks that the last statement decides before the
-// deadline whatever has happened, which is what ends every request.
+// validateStatements checks that the last statement decides before the deadline
+// under all circumstances, so that every request ends.
 func validateStatements(service *Service, policy *Policy) error {
 	if len(policy.Statements) == 0 {
 		return errors.New("no statement")
--- a/internal/policy/remote.go
+++ b/internal/policy/remote.go
@@ -121,7 +121,7 @@
 	}
 	row("asks", "region %s, which owns the route, through one of %s", route.Region, plural(entries, "entry router"))
 	row("deadline", "%s from admission, or the owning route's own if that is shorter", plan.DurationText(route.Deadline))
-	row("repetition", "as the owning region says; offered to another entry router %s", plan.OfferText(*route))
+	row("repetition", "as the owning region says; offered to another entry router %s", plan.ResendText(*route))
 	row("when cut", "refused at once with region_unreachable and not_run")
 	return text.String()
 }
