--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -1,11 +1,12 @@
-// Package backend is the client of back ends: it sends attempts, probes and
-// cancellations over HTTP/1.1 according to the contract in package backendapi.
+// Package backend is the client for back ends: it sends query attempts, health
+// probes and cancellations over HTTP/1.1, following the contract in package
+// backendapi.
 //
-// Each server has a pool of connections that never exceeds the router's share
-// of the server's connection limit. A query is written to one connection at
-// most once: there is no hidden resend, and every failure carries a verdict.
-// "Not run" is given only when no byte of the query can have left this
-// process, or when the back end's own refusal says so.
+// Each server has a connection pool that never exceeds the router's share of
+// the server's connection limit. An attempt is written to at most one
+// connection and never resent implicitly, and every failure carries a verdict.
+// The verdict is "not run" only if no byte of the query can have left this
+// process, or if the back end's refusal states it.
 package backend
 
 import (
@@ -26,9 +27,9 @@
 type Config struct {
 	// Zone is sent with every query.
 	Zone string
-	// MaxReplyBytes bounds a reply body.
+	// MaxReplyBytes limits the size of a reply body.
 	MaxReplyBytes int64
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout limits the time to open a connection.
 	DialTimeout time.Duration
 	// DefaultConnections is the pool limit of a server until Resize sets one.
 	DefaultConnections int
@@ -41,10 +42,10 @@
 	DefaultConnections   = 16
 )
 
-// maxHead bounds the head of a reply, in bytes.
+// maxHead limits the size of a reply's status line and headers, in bytes.
 const maxHead = 64 << 10
 
-// Client sends to back ends. It is safe for concurrent use.
+// Client sends requests to back ends. It is safe for concurrent use.
 type Client struct {
 	config    Config
 	logger    logrus.FieldLogger
@@ -56,23 +57,24 @@
 	servers map[netip.AddrPort]*server
 }
 
-// server is what the client holds for one back end.
+// server is the client's state for one back end.
 type server struct {
 	address netip.AddrPort
 	host    string
-	// template is what all queries to the server have in common.
-	template *http.Request
-	queries  *pool
-	// control carries probes and cancellations, so that they neither wait for
-	// queries nor take their connections. It is one of the router's share.
+	// requestTemplate is copied for each query to the server.
+	requestTemplate *http.Request
+	queries         *pool
+	// control is a separate pool for probes and cancellations, so that they
+	// neither wait for queries nor use their connections. It takes one
+	// connection of the router's share.
 	control *pool
-	// wanted is the number of query connections to keep open.
-	wanted atomic.Int32
+	// wantedConnections is the number of query connections to keep open.
+	wantedConnections atomic.Int32
 }
 
 type socketKey struct{}
 
-// New returns a client without connections.
+// New returns a client that has no open connections yet.
 func New(config Config, dependencies Dependencies) *Client {
 	config = withDefaults(config)
 	client := &Client{
@@ -85,9 +87,9 @@
 	client.transport = &http.Transport{
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: maxHead,
-		// The socket was dialed before; the transport only frames HTTP on it.
+		// The socket is already connected; the transport only speaks HTTP on it.
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			socket, ok := ctx.Value(socketKey{}).(*connection)
+			socket, ok := ctx.Value(socketKey{}).(*trackedSocket)
 			if !ok {
 				return nil, errors.New("transport dialed on its own")
 			}
@@ -105,28 +107,28 @@
 }
 
 // dial opens one connection to a server.
-func (c *Client) dial(ctx context.Context, address netip.AddrPort) (*link, error) {
+func (c *Client) dial(ctx context.Context, address netip.AddrPort) (*clientConnection, error) {
 	raw, err := c.dialer.DialContext(ctx, "tcp4", address.String())
 	if err != nil {
 		c.metrics.dialFailures.Inc()
 		return nil, err
 	}
 	c.metrics.dials.Inc()
-	return c.frame(ctx, raw, address)
+	return c.newClientConnection(ctx, raw, address)
 }
 
-// frame puts HTTP on an open socket.
-func (c *Client) frame(ctx context.Context, raw net.Conn, address netip.AddrPort) (*link, error) {
-	socket := &connection{Conn: raw}
+// newClientConnection wraps an open socket in an HTTP/1.1 client connection.
+func (c *Client) newClientConnection(ctx context.Context, raw net.Conn, address netip.AddrPort) (*clientConnection, error) {
+	socket := &trackedSocket{Conn: raw}
 	client, err := c.transport.NewClientConn(context.WithValue(ctx, socketKey{}, socket), "http", address.String())
 	if err != nil {
 		_ = raw.Close()
 		return nil, err
 	}
-	return &link{client: client, socket: socket}, nil
+	return &clientConnection{client: client, socket: socket}, nil
 }
 
-// serverAt returns the state for an address, creating it at first use.
+// serverAt returns the state for an address, creating it on first use.
 func (c *Client) serverAt(address netip.AddrPort) *server {
 	c.mutex.RLock()
 	found, ok := c.servers[address]
@@ -139,22 +141,22 @@
 	if found, ok = c.servers[address]; ok {
 		return found
 	}
-	open := func(ctx context.Context) (*link, error) { return c.dial(ctx, address) }
+	dial := func(ctx context.Context) (*clientConnection, error) { return c.dial(ctx, address) }
 	found = &server{
 		address: address,
 		host:    address.String(),
 
-		template: newTemplate(address.String()),
+		requestTemplate: newRequestTemplate(address.String()),
 
-		queries: newPool(queryConnections(c.config.DefaultConnections), open),
-		control: newPool(controlConnections(c.config.DefaultConnections), open),
+		queries: newPool(queryConnections(c.config.DefaultConnections), dial),
+		control: newPool(controlConnections(c.config.DefaultConnections), dial),
 	}
 	c.servers[address] = found
 	return found
 }
 
-// queryConnections and controlConnections split a share: one connection for
-// probes and cancellations, unless there is only one in all.
+// queryConnections and controlConnections split a share: one connection is
+// reserved for probes and cancellations, unless the share is a single one.
 func queryConnections(share int) int {
 	if share <= 1 {
 		return share
@@ -171,21 +173,22 @@
 	target.control.resize(controlConnections(connections))
 }
 
-// Warm opens connections until the wanted number is ready, within the share,
-// and lets Maintain keep that number.
+// Warm opens connections up to the given number, within the share, and makes
+// that number the target of Maintain.
 func (c *Client) Warm(ctx context.Context, address netip.AddrPort, connections int) {
-	c.serverAt(address).wanted.Store(int32(connections))
+	c.serverAt(address).wantedConnections.Store(int32(connections))
 	c.Maintain(ctx, address)
 }
 
-// Maintain drops connections that the server closed and opens new ones up to
-// the number last given to Warm.
+// Maintain discards connections that the server closed and opens new ones up
+// to the number last passed to Warm.
 func (c *Client) Maintain(ctx context.Context, address netip.AddrPort) {
 	target := c.serverAt(address)
-	target.queries.warm(ctx, int(target.wanted.Load()))
+	target.queries.warm(ctx, int(target.wantedConnections.Load()))
 }
 
-// Connections returns how many connections to a server are open and idle.
+// Connections returns how many connections to a server are open, and how many
+// of these are idle.
 func (c *Client) Connections(address netip.AddrPort) (open, idle int) {
 	target := c.serverAt(address)
 	open, idle = target.queries.size()
@@ -196,15 +199,15 @@
 // Forget closes the connections to a server that is no longer configured.
 func (c *Client) Forget(address netip.AddrPort) {
 	c.mutex.Lock()
-	forgotten, ok := c.servers[address]
+	removed, ok := c.servers[address]
 	delete(c.servers, address)
 	c.mutex.Unlock()
 	if ok {
-		forgotten.close()
+		removed.close()
 	}
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -35,16 +35,16 @@
 	return client.Sender("router-0")
 }
 
-// rawServer accepts connections and counts what came in. It stands for a back
-// end whose every byte the test decides.
+// rawServer is a fake back end that gives the test control over every byte on
+// the wire. It counts executions and connections that delivered data.
 type rawServer struct {
-	address    netip.AddrPort
-	listener   net.Listener
-	executions atomic.Int64
-	touched    atomic.Int64 // connections on which any byte of a query arrived
+	address              netip.AddrPort
+	listener             net.Listener
+	executions           atomic.Int64
+	connectionsWithBytes atomic.Int64 // connections on which any byte of a query arrived
 }
 
-// newRawServer serves each connection with a function.
+// newRawServer starts a server that runs serve for each accepted connection.
 func newRawServer(t testing.TB, serve func(server *rawServer, socket *net.TCPConn)) *rawServer {
 	t.Helper()
 	listener, err := net.Listen("tcp4", testaddress.Next().String())
@@ -63,7 +63,7 @@
 	return server
 }
 
-// reset ends a connection with a TCP reset.
+// reset closes a connection with a TCP reset.
 func reset(socket *net.TCPConn) {
 	_ = socket.SetLinger(0)
 	_ = socket.Close()
@@ -76,8 +76,9 @@
 	}
 }
 
-// wholeReply is the reply of a back end that executed the attempt.
-func wholeReply(attempt query.Send) []byte {
+// executedReply returns the complete reply of a back end that executed the
+// attempt.
+func executedReply(attempt query.Send) []byte {
 	body := []byte(`{"items":[{"id":1},{"id":2}]}`)
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s: caller-7\r\n%s: router-0-%d\r\n%s: 3\r\n"+
 		"%s: 2\r\n%s: 9\r\n%s: %s\r\n%s: %s\r\n\r\n%s", len(body),
@@ -87,14 +88,14 @@
 		backendapi.HeaderDigest, backendapi.Digest(body), body)
 }
 
-// refusedReply is the reply of a back end that proves that it did not run the
-// attempt.
+// refusedReply returns a reply by which a back end proves that it did not run
+// the attempt.
 func refusedReply(attempt query.Send) []byte {
 	return fmt.Appendf(nil, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 5\r\n%s: router-0-%d\r\n%s: not_run\r\n%s: draining\r\n%s: 1\r\n\r\nno.\r\n",
 		backendapi.HeaderAttempt, attempt.Attempt, backendapi.HeaderVerdict, backendapi.HeaderReason, backendapi.HeaderDraining)
 }
 
-// readQuery reads one whole request.
+// readQuery reads one request and reports whether it was complete.
 func readQuery(socket io.Reader) bool {
 	request, err := http.ReadRequest(bufio.NewReader(socket))
 	if err != nil {
@@ -106,7 +107,7 @@
 
 func TestResetAtEveryByteOfTheReply(t *testing.T) {
 	replies := map[string]func(query.Send) []byte{
-		"executed": wholeReply,
+		"executed": executedReply,
 		"refused":  refusedReply,
 	}
 	for name, reply := range replies {
@@ -115,17 +116,17 @@
 			headers := bytes.Index(whole, []byte("\r\n\r\n")) + len("\r\n\r\n")
 			for cut := range len(whole) + 1 {
 				server := newRawServer(t, func(server *rawServer, socket *net.TCPConn) {
-					server.touched.Add(1)
+					server.connectionsWithBytes.Add(1)
 					if readQuery(socket) && name == "executed" {
 						server.executions.Add(1)
 					}
 					_, _ = socket.Write(whole[:cut])
-					// A close after a half-close lets the bytes arrive before
-					// the end; a reset could overtake them.
+					// An orderly close delivers the bytes before the end of the
+					// stream; after a reset, the peer may discard them.
 					_ = socket.Close()
 				})
 				outcome := newSender(t, Config{}).Send(t.Context(), attemptTo(server.address, 0))
-				require.EqualValues(t, 1, server.touched.Load(), "cut at %d: one connection", cut)
+				require.EqualValues(t, 1, server.connectionsWithBytes.Load(), "cut at %d: one connection", cut)
 				checkReplyVerdict(t, outcome, name, cut, headers, len(whole))
 				_ = server.listener.Close()
 			}
@@ -151,7 +152,7 @@
 		server := newRawServer(t, func(server *rawServer, socket *net.TCPConn) {
 			read, _ := io.CopyN(io.Discard, socket, int64(cut))
 			if read > 0 {
-				server.touched.Add(1)
+				server.connectionsWithBytes.Add(1)
 			}
 			if read == int64(length) {
 				server.executions.Add(1)
@@ -161,16 +162,16 @@
 		outcome := newSender(t, Config{}).Send(t.Context(), attemptTo(server.address, 0))
 		failed, ok := outcome.(query.AttemptFailed)
 		require.True(t, ok)
-		require.LessOrEqual(t, server.touched.Load(), int64(1), "cut at %d: sent again", cut)
+		require.LessOrEqual(t, server.connectionsWithBytes.Load(), int64(1), "cut at %d: sent again", cut)
 		require.LessOrEqual(t, server.executions.Load(), int64(1))
 		if failed.Verdict == verdict.NotRun {
-			require.Zero(t, server.touched.Load(), "cut at %d: not_run, yet bytes arrived", cut)
+			require.Zero(t, server.connectionsWithBytes.Load(), "cut at %d: not_run, yet bytes arrived", cut)
 		}
 		_ = server.listener.Close()
 	}
 }
 
-// requestLength counts the bytes of one attempt on the wire.
+// requestLength returns the number of bytes of one attempt on the wire.
 func requestLength(t *testing.T) int {
 	t.Helper()
 	seen := make(chan int, 1)
@@ -184,14 +185,14 @@
 	return <-seen
 }
 
-// A connection that the back end closed while idle must not lead to a second
-// execution, nor to a false claim that nothing was run.
-func TestReusedConnectionThatDiesIsNotSentOnAgain(t *testing.T) {
+// A back end may close a connection while it is idle in the pool. Reusing it
+// must neither execute a query twice nor yield a false "not run" verdict.
+func TestQueryIsNotResentAfterReusedConnectionFails(t *testing.T) {
 	for round := range 100 {
 		server := newRawServer(t, func(server *rawServer, socket *net.TCPConn) {
 			if readQuery(socket) {
 				server.executions.Add(1)
-				_, _ = socket.Write(wholeReply(attemptTo(server.address, 1)))
+				_, _ = socket.Write(executedReply(attemptTo(server.address, 1)))
 			}
 			if round%2 == 0 {
 				reset(socket)
@@ -213,10 +214,10 @@
 	}
 }
 
-// A back end that ends every connection after one reply leaves dead ones in the
-// pool. An attempt that finds one dead before its first byte takes another, and
-// runs once.
-func TestDeadConnectionIsSteppedOver(t *testing.T) {
+// A back end that closes every connection after one reply leaves dead ones in
+// the pool. An attempt that finds its connection dead before the first byte is
+// written uses another one, and runs at most once.
+func TestDeadConnectionIsSkipped(t *testing.T) {
 	const attempts = 1000
 	server := newRawServer(t, func(server *rawServer, socket *net.TCPConn) {
 		request, err := http.ReadRequest(bufio.NewReader(socket))
@@ -224,7 +225,7 @@
 			_, _ = io.Copy(io.Discard, request.Body)
 			server.executions.Add(1)
 			number, _ := strconv.Atoi(strings.TrimPrefix(request.Header.Get(backendapi.HeaderAttempt), "router-0-"))
-			_, _ = socket.Write(wholeReply(attemptTo(server.address, number)))
+			_, _ = socket.Write(executedReply(attemptTo(server.address, number)))
 		}
 		reset(socket)
 	})
@@ -243,13 +244,13 @@
 	require.Positive(t, arrived)
 }
 
-// Whenever a cancellation wins the race against the write, nothing may arrive
-// afterwards.
+// If a cancellation precedes the first write, the back end must not receive any
+// byte of the query afterwards.
 func TestCanceledBeforeTheWriteIsNeverWritten(t *testing.T) {
 	server := newRawServer(t, func(server *rawServer, socket *net.TCPConn) {
 		buffer := make([]byte, 1)
 		if read, _ := socket.Read(buffer); read > 0 {
-			server.touched.Add(1)
+			server.connectionsWithBytes.Add(1)
 		}
 		_, _ = io.Copy(io.Discard, socket)
 		_ = socket.Close()
@@ -268,7 +269,7 @@
 			written++
 		}
 	}
-	require.LessOrEqual(t, server.touched.Load(), written)
+	require.LessOrEqual(t, server.connectionsWithBytes.Load(), written)
 	require.Positive(t, unwritten)
 	require.Positive(t, written)
 }
@@ -283,16 +284,16 @@
 
 func TestWrongEchoDigestAndLengthAreDropped(t *testing.T) {
 	attempt := attemptTo(netip.AddrPort{}, 4)
-	spoil := func(old, replacement string) []byte {
-		return bytes.Replace(wholeReply(attempt), []byte(old), []byte(replacement), 1)
+	corrupt := func(old, replacement string) []byte {
+		return bytes.Replace(executedReply(attempt), []byte(old), []byte(replacement), 1)
 	}
 	replies := map[string][]byte{
-		"other attempt": spoil("router-0-4", "router-0-5"),
-		"other body":    spoil(`"id":2`, `"id":3`),
-		"no shard":      spoil(backendapi.HeaderShard, "Other"),
-		"not JSON":      spoil(`{"items":[{"id":1},{"id":2}]}`, `{"items":[{"id":1},{"id":2}}}`),
-		"endless head":  spoil("Content-Length: 29", strings.Repeat("Filler: 0123456789\r\n", 4<<10)+"Content-Length: 29"),
-		"too long":      spoil("Content-Length: 29", "Content-Length: 99999999"),
+		"other attempt": corrupt("router-0-4", "router-0-5"),
+		"other body":    corrupt(`"id":2`, `"id":3`),
+		"no shard":      corrupt(backendapi.HeaderShard, "Other"),
+		"not JSON":      corrupt(`{"items":[{"id":1},{"id":2}]}`, `{"items":[{"id":1},{"id":2}}}`),
+		"endless head":  corrupt("Content-Length: 29", strings.Repeat("Filler: 0123456789\r\n", 4<<10)+"Content-Length: 29"),
+		"too long":      corrupt("Content-Length: 29", "Content-Length: 99999999"),
 	}
 	for name, reply := range replies {
 		t.Run(name, func(t *testing.T) {
@@ -309,9 +310,9 @@
 	}
 }
 
-// A refusal counts as a proof only when it names this attempt and says one
-// thing. Anything less could let a request that runs at most once run again.
-func TestDoubtfulRefusalProvesNothing(t *testing.T) {
+// A refusal proves "not run" only if it names this attempt and its headers are
+// unambiguous. Otherwise an at-most-once request could be executed twice.
+func TestAmbiguousRefusalIsNotProofOfNotRun(t *testing.T) {
 	attempt := attemptTo(netip.AddrPort{}, 4)
 	echo, proof := backendapi.HeaderAttempt+": router-0-4\r\n", backendapi.HeaderVerdict+": not_run\r\n"
 	replies := map[string][2]string{
@@ -336,11 +337,12 @@
 	}
 }
 
-// A value that would end a header early must not reach the wire.
+// A header value that contains line breaks would inject another header and
+// must not reach the wire.
 func TestHeaderThatBreaksTheRequestIsNotSent(t *testing.T) {
 	server := newRawServer(t, func(server *rawServer, socket *net.TCPConn) {
 		if read, _ := socket.Read(make([]byte, 1)); read > 0 {
-			server.touched.Add(1)
+			server.connectionsWithBytes.Add(1)
 		}
 		reset(socket)
 	})
@@ -348,5 +350,5 @@
 	attempt.CallerID = "a\r\nMartenstage-Once: 1"
 	failed := newSender(t, Config{}).Send(t.Context(), attempt).(query.AttemptFailed)
 	require.Equal(t, verdict.NotRun, failed.Verdict)
-	require.Zero(t, server.touched.Load())
+	require.Zero(t, server.connectionsWithBytes.Load())
 }
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -8,51 +8,51 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Write states of a connection, for the request that holds it.
+// Write states of a socket, for the request that currently uses it.
 const (
-	writeNone   uint32 = iota // nothing of the request was handed to the socket
-	writeBegun                // at least one write was attempted
-	writeSealed               // nothing was, and nothing ever will be
+	writeNone    uint32 = iota // no byte of the request was passed to the socket
+	writeStarted               // at least one write was attempted
+	writeSealed                // nothing was written, and writes fail from now on
 )
 
 var errSealed = errors.New("connection is sealed: its request was given up before the first write")
 
-// connection is a socket that knows whether any byte of the current request
-// may have left. That knowledge is what makes the verdict "not run" provable.
-type connection struct {
+// trackedSocket records whether any byte of the current request may have been
+// sent. The verdict "not run" relies on this record.
+type trackedSocket struct {
 	net.Conn
 	state atomic.Uint32
 }
 
 // Write implements io.Writer.
-func (c *connection) Write(data []byte) (int, error) {
-	// The state changes before the socket is touched, so a failed write counts
-	// as begun: the kernel may have sent part of it.
-	if !c.state.CompareAndSwap(writeNone, writeBegun) && c.state.Load() == writeSealed {
+func (c *trackedSocket) Write(data []byte) (int, error) {
+	// The state changes before the write, so a failed write counts as started:
+	// the kernel may have sent part of it.
+	if !c.state.CompareAndSwap(writeNone, writeStarted) && c.state.Load() == writeSealed {
 		return 0, errSealed
 	}
 	return c.Conn.Write(data)
 }
 
-// begin starts a request on the connection.
-func (c *connection) begin() { c.state.Store(writeNone) }
+// beginRequest resets the write state for a new request.
+func (c *trackedSocket) beginRequest() { c.state.Store(writeNone) }
 
-// seal reports whether nothing of the request was written, and in that case
-// makes sure that nothing will be: the transport writes from a goroutine of
-// its own, which may come late.
-func (c *connection) seal() bool {
+// sealUnwritten reports whether no byte of the request was written, and if so
+// makes later writes fail: the transport writes from its own goroutine, which
+// may run after the request was abandoned.
+func (c *trackedSocket) sealUnwritten() bool {
 	return c.state.CompareAndSwap(writeNone, writeSealed) || c.state.Load() == writeSealed
 }
 
-// link is one HTTP/1.1 client connection with the socket under it. It carries
-// one request at a time and never sends one again.
-type link struct {
+// clientConnection is an HTTP/1.1 client connection and its underlying socket.
+// It carries one request at a time and never resends one.
+type clientConnection struct {
 	client *http.ClientConn
-	socket *connection
+	socket *trackedSocket
 }
 
-// close ends the connection.
-func (l *link) close() { _ = l.client.Close() }
+// close closes the connection.
+func (l *clientConnection) close() { _ = l.client.Close() }
 
 // usable reports whether the connection can carry another request.
-func (l *link) usable() bool { return l.client.Err() == nil }
+func (l *clientConnection) usable() bool { return l.client.Err() == nil }
--- a/internal/backend/control.go
+++ b/internal/backend/control.go
@@ -15,14 +15,14 @@
 	"github.com/martenstage/martenstage/internal/query"
 )
 
-// maxControlBytes bounds the reply to a probe or a cancellation.
+// maxControlBytes limits the size of the reply to a probe or a cancellation.
 const maxControlBytes = 1 << 20
 
-// Probe asks a back end for its health. The second result is false when the
-// router holds no connection of the server and so has nothing to say about it.
+// Probe requests a back end's health. The second result is false if this router
+// has no share of the server's connections and therefore could not probe it.
 func (c *Client) Probe(ctx context.Context, address netip.AddrPort) (query.HealthObserved, bool) {
 	observed := query.HealthObserved{Address: address}
-	body, err := c.control(ctx, address, http.MethodGet, backendapi.PathHealth, nil)
+	body, err := c.sendControl(ctx, address, http.MethodGet, backendapi.PathHealth, nil)
 	if errors.Is(err, errNoConnection) {
 		return observed, false
 	}
@@ -33,50 +33,51 @@
 	return observed, true
 }
 
-// isTimeout reports whether a call failed because its time ran out.
+// isTimeout reports whether a call failed because of a timeout.
 func isTimeout(err error) bool {
 	var network net.Error
 	return errors.Is(err, context.DeadlineExceeded) || (errors.As(err, &network) && network.Timeout())
 }
 
-// Cancel tells a back end that an attempt is no longer wanted.
+// Cancel requests that a back end cancel an attempt.
 func (s *Sender) Cancel(ctx context.Context, address netip.AddrPort, request string, attempt query.AttemptID) error {
-	document, err := json.Marshal(backendapi.CancelRequest{Request: request, Attempt: s.attemptName(attempt)})
+	requestBody, err := json.Marshal(backendapi.CancelRequest{Request: request, Attempt: s.attemptWireID(attempt)})
 	if err != nil {
 		return err
 	}
-	_, err = s.control(ctx, address, http.MethodPost, backendapi.PathCancel, document)
+	_, err = s.sendControl(ctx, address, http.MethodPost, backendapi.PathCancel, requestBody)
 	if err == nil {
 		s.metrics.cancelsSent.Inc()
 	}
 	return err
 }
 
-// control sends a small request over the connection kept for that purpose.
-func (c *Client) control(ctx context.Context, address netip.AddrPort, method, path string, document []byte) ([]byte, error) {
+// sendControl sends a probe or cancellation over the control connection, or
+// over a query connection if the router's share has no control connection.
+func (c *Client) sendControl(ctx context.Context, address netip.AddrPort, method, path string, requestBody []byte) ([]byte, error) {
 	target := c.serverAt(address)
-	connections := target.control
-	connected, err := connections.acquire(ctx)
+	source := target.control
+	connection, err := source.acquire(ctx)
 	if errors.Is(err, errNoConnection) {
-		connections = target.queries
-		connected, err = connections.acquire(ctx)
+		source = target.queries
+		connection, err = source.acquire(ctx)
 	}
 	if err != nil {
 		return nil, err
 	}
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+target.host+path, bytes.NewReader(document))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+target.host+path, bytes.NewReader(requestBody))
 	if err != nil {
-		connections.release(connected, true)
+		source.release(connection, true)
 		return nil, err
 	}
-	body, reusable, err := roundTripControl(connected, request)
-	connections.release(connected, reusable)
+	body, reusable, err := roundTripControl(connection, request)
+	source.release(connection, reusable)
 	return body, err
 }
 
-func roundTripControl(connected *link, request *http.Request) (body []byte, reusable bool, err error) {
-	connected.socket.begin()
-	response, err := connected.client.RoundTrip(request)
+func roundTripControl(connection *clientConnection, request *http.Request) (body []byte, reusable bool, err error) {
+	connection.socket.beginRequest()
+	response, err := connection.client.RoundTrip(request)
 	if err != nil {
 		return nil, false, err
 	}
--- a/internal/backend/items_test.go
+++ b/internal/backend/items_test.go
@@ -8,22 +8,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestPartsAreReadWhole(t *testing.T) {
-	part, err := readItems([]byte(`{"other":[1],"items":[ "a,\"]" , [1,[2]] , {"x":"}"} , -1.5e3 , null ] }`))
+func TestPartsAreParsedCompletely(t *testing.T) {
+	part, err := parsePart([]byte(`{"other":[1],"items":[ "a,\"]" , [1,[2]] , {"x":"}"} , -1.5e3 , null ] }`))
 	require.NoError(t, err)
 	texts := lo.Map(part.Items, func(item json.RawMessage, _ int) string { return string(item) })
 	require.Equal(t, []string{`"a,\"]"`, `[1,[2]]`, `{"x":"}"}`, `-1.5e3`, `null`}, texts)
-	part, err = readItems([]byte(`{"items":[ ]}`))
+	part, err = parsePart([]byte(`{"items":[ ]}`))
 	require.NoError(t, err)
 	require.Empty(t, part.Items)
 }
 
-func TestBodiesThatAreNoPartsAreRefused(t *testing.T) {
+func TestMalformedPartsAreRejected(t *testing.T) {
 	for _, body := range []string{
 		``, `[]`, `{}`, `{"items":null}`, `{"items":1}`, `{"items":{}}`, `{"items":[1}`, `{"items":[1]`,
 		`{"items":[2],"b":[}`, `{"items":[1]} {"items":[2]}`, `{"it":[1]}`,
 	} {
-		_, err := readItems([]byte(body))
+		_, err := parsePart([]byte(body))
 		require.Error(t, err, body)
 	}
 }
--- a/internal/backend/metrics.go
+++ b/internal/backend/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Dependencies are what a Client reports to.
+// Dependencies are the logger and the metrics registry of a Client.
 type Dependencies struct {
 	Logger     logrus.FieldLogger
 	Registerer prometheus.Registerer
@@ -21,7 +21,7 @@
 }
 
 func newClientMetrics(registerer prometheus.Registerer) *clientMetrics {
-	created := &clientMetrics{
+	metrics := &clientMetrics{
 		dials: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "martenstage_backend_dials_total", Help: "Connections opened to back ends."}),
 		dialFailures: prometheus.NewCounter(prometheus.CounterOpts{
@@ -38,7 +38,7 @@
 			Name: "martenstage_backend_attempt_failures_total", Help: "Attempts without a part, by verdict and reason."},
 			[]string{"verdict", "reason"}),
 	}
-	registerer.MustRegister(created.dials, created.dialFailures, created.deadConnections, created.cancelsSent,
-		created.badReplies, created.attemptFailures)
-	return created
+	registerer.MustRegister(metrics.dials, metrics.dialFailures, metrics.deadConnections, metrics.cancelsSent,
+		metrics.badReplies, metrics.attemptFailures)
+	return metrics
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -11,21 +11,21 @@
 // connections.
 var errNoConnection = errors.New("no connection of the server is assigned to this router")
 
-// dialFunc opens one connection.
-type dialFunc func(ctx context.Context) (*link, error)
+// dialFunc opens a connection.
+type dialFunc func(ctx context.Context) (*clientConnection, error)
 
-// pool holds the connections to one server. It never has more open than its
-// limit, counting those being opened and those in use; a caller beyond it
-// waits. The connection used last is reused first, so that a small set stays
-// warm in caches.
+// pool holds the connections to one server. The number of open connections,
+// including those being dialed and those in use, never exceeds the limit;
+// further callers wait. The most recently used connection is reused first, so
+// that a small set stays warm in caches.
 type pool struct {
 	dial dialFunc
 
 	mutex   sync.Mutex
 	limit   int
 	open    int
-	idle    []*link
-	waiters []chan *link
+	idle    []*clientConnection
+	waiters []chan *clientConnection
 	closed  bool
 }
 
@@ -33,32 +33,32 @@
 	return &pool{limit: limit, dial: dial}
 }
 
-// acquire returns a connection for exclusive use until release. An error
-// means that no connection was used.
-func (p *pool) acquire(ctx context.Context) (*link, error) {
+// acquire returns a connection for exclusive use until release. If it returns
+// an error, no connection was used.
+func (p *pool) acquire(ctx context.Context) (*clientConnection, error) {
 	for {
-		connected, waiter, err := p.reserve()
-		if connected != nil || err != nil {
-			return connected, err
+		connection, waiter, err := p.reserve()
+		if connection != nil || err != nil {
+			return connection, err
 		}
 		if waiter == nil {
-			return p.openOne(ctx)
+			return p.dialReserved(ctx)
 		}
 		select {
-		case connected = <-waiter:
-			if connected != nil {
-				return connected, nil
+		case connection = <-waiter:
+			if connection != nil {
+				return connection, nil
 			}
 		case <-ctx.Done():
-			p.abandon(waiter)
+			p.cancelWait(waiter)
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// reserve takes an idle connection, or the right to open one (both results
-// nil), or a place in the queue.
-func (p *pool) reserve() (*link, chan *link, error) {
+// reserve returns an idle connection, or reserves a slot to dial a new one (all
+// results nil), or joins the queue of waiters and returns the waiter's channel.
+func (p *pool) reserve() (*clientConnection, chan *clientConnection, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed || p.limit == 0 {
@@ -66,67 +66,69 @@
 	}
 	for len(p.idle) > 0 {
 		last := len(p.idle) - 1
-		connected := p.idle[last]
+		connection := p.idle[last]
 		p.idle = p.idle[:last]
-		if connected.usable() {
-			return connected, nil, nil
+		if connection.usable() {
+			return connection, nil, nil
 		}
-		connected.close()
+		connection.close()
 		p.open--
 	}
 	if p.open < p.limit {
 		p.open++
 		return nil, nil, nil
 	}
-	waiter := make(chan *link, 1)
+	waiter := make(chan *clientConnection, 1)
 	p.waiters = append(p.waiters, waiter)
 	return nil, waiter, nil
 }
 
-// openOne dials under a reservation and gives the reservation back on failure.
-func (p *pool) openOne(ctx context.Context) (*link, error) {
-	connected, err := p.dial(ctx)
+// dialReserved dials a connection for a reserved slot and frees the slot on
+// failure.
+func (p *pool) dialReserved(ctx context.Context) (*clientConnection, error) {
+	connection, err := p.dial(ctx)
 	if err == nil {
-		return connected, nil
+		return connection, nil
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.open--
-	p.wakeOne(nil)
+	p.notifyWaiter(nil)
 	return nil, err
 }
 
-// release returns a connection; one that is not reusable is closed.
-func (p *pool) release(connected *link, reusable bool) {
+// release returns a connection to the pool, or closes it if it is not reusable.
+func (p *pool) release(connection *clientConnection, reusable bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if reusable && !p.closed && p.open <= p.limit {
-		if !p.wakeOne(connected) {
-			p.idle = append(p.idle, connected)
+		if !p.notifyWaiter(connection) {
+			p.idle = append(p.idle, connection)
 		}
 		return
 	}
-	connected.close()
+	connection.close()
 	p.open--
 	if p.open < p.limit {
-		p.wakeOne(nil)
+		p.notifyWaiter(nil)
 	}
 }
 
-// wakeOne hands a connection, or the news that one may be opened, to the
-// longest waiter.
-func (p *pool) wakeOne(connected *link) bool {
+// notifyWaiter passes a connection to the waiter that has waited longest, or
+// nil to make it try again. It reports whether there was a waiter.
+func (p *pool) notifyWaiter(connection *clientConnection) bool {
 	if len(p.waiters) == 0 {
 		return false
 	}
 	waiter := p.waiters[0]
 	p.waiters = p.waiters[1:]
-	waiter <- connected
+	waiter <- connection
 	return true
 }
 
-// abandon leaves the queue, passing on what was handed over meanwhile.
-func (p *pool) abandon(waiter chan *link) {
+// cancelWait removes a waiter from the queue. If the waiter was notified in the
+// meantime, the connection or notification goes to the next one.
+func (p *pool) cancelWait(waiter chan *clientConnection) {
 	p.mutex.Lock()
 	for index, queued := range p.waiters {
 		if queued == waiter {
@@ -136,18 +138,18 @@
 		}
 	}
 	p.mutex.Unlock()
-	// Not queued any more, so the hand-over is already in the channel.
-	if connected := <-waiter; connected != nil {
-		p.release(connected, true)
+	// The waiter is no longer queued, so its channel already has a value.
+	if connection := <-waiter; connection != nil {
+		p.release(connection, true)
 		return
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.wakeOne(nil)
+	p.notifyWaiter(nil)
 }
 
-// resize changes the limit. Idle connections above it are closed at once,
-// those in use when they are released.
+// resize changes the limit. Excess idle connections are closed immediately,
+// excess connections in use when they are released.
 func (p *pool) resize(limit int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -158,35 +160,37 @@
 		p.idle = p.idle[1:]
 		p.open--
 	}
-	for ; grown > 0 && p.wakeOne(nil); grown-- {
+	for ; grown > 0 && p.notifyWaiter(nil); grown-- {
 		continue
 	}
 	if limit == 0 {
-		// Waiters would wait in vain; waking them lets them see the limit.
-		for p.wakeOne(nil) {
+		// No connection will become available; notified waiters see the limit
+		// and fail.
+		for p.notifyWaiter(nil) {
 			continue
 		}
 	}
 }
 
-// warm drops dead idle connections and opens new ones until the wanted number
-// is open, within the limit. It returns the number opened.
+// warm discards dead idle connections and opens new ones until the wanted
+// number is open, within the limit. It returns the number opened.
 func (p *pool) warm(ctx context.Context, wanted int) int {
 	opened := 0
-	for p.reserveWarm(wanted) {
-		connected, err := p.openOne(ctx)
+	for p.reserveUpTo(wanted) {
+		connection, err := p.dialReserved(ctx)
 		if err != nil {
 			return opened
 		}
-		p.release(connected, true)
+		p.release(connection, true)
 		opened++
 	}
 	return opened
 }
 
-// reserveWarm takes the right to open a connection if fewer than wanted are.
-func (p *pool) reserveWarm(wanted int) bool {
-	p.sweep()
+// reserveUpTo reserves a slot to dial a connection if fewer than the wanted
+// number are open.
+func (p *pool) reserveUpTo(wanted int) bool {
+	p.pruneIdle()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed || p.open >= min(wanted, p.limit) {
@@ -196,24 +200,25 @@
 	return true
 }
 
-// sweep drops idle connections that the server has closed.
-func (p *pool) sweep() {
+// pruneIdle discards idle connections that the server has closed.
+func (p *pool) pruneIdle() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	kept := p.idle[:0]
-	for _, connected := range p.idle {
-		if connected.usable() {
-			kept = append(kept, connected)
+	for _, connection := range p.idle {
+		if connection.usable() {
+			kept = append(kept, connection)
 			continue
 		}
-		connected.close()
+		connection.close()
 		p.open--
 	}
 	clear(p.idle[len(kept):])
 	p.idle = kept
 }
 
-// close ends every idle connection, and those in use when they are released.
+// close closes idle connections immediately, and those in use when they are
+// released.
 func (p *pool) close() {
 	p.mutex.Lock()
 	p.closed = true
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -19,7 +19,8 @@
 	"github.com/martenstage/martenstage/internal/query"
 )
 
-// echoServer executes every query at once and counts accepted connections.
+// echoServer is a fake back end that answers every query immediately and counts
+// accepted connections.
 type echoServer struct {
 	address  netip.AddrPort
 	accepted atomic.Int64
@@ -60,35 +61,35 @@
 	_, _ = io.WriteString(writer, part)
 }
 
-// countedSocket counts the sockets that this process holds open.
+// countedSocket decrements the count of open sockets when it is closed.
 type countedSocket struct {
 	net.Conn
-	live   *atomic.Int64
+	open   *atomic.Int64
 	closed sync.Once
 }
 
 func (c *countedSocket) Close() error {
-	c.closed.Do(func() { c.live.Add(-1) })
+	c.closed.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
 }
 
 func TestOpenConnectionsStayWithinTheShare(t *testing.T) {
 	server := newEchoServer(t, `{"items":[]}`)
 	sender := newSender(t, Config{DefaultConnections: 5})
-	var live, most atomic.Int64
+	var open, most atomic.Int64
 	target := sender.serverAt(server.address)
-	target.queries.dial = func(ctx context.Context) (*link, error) {
+	target.queries.dial = func(ctx context.Context) (*clientConnection, error) {
 		raw, err := net.Dial("tcp4", target.host)
 		if err != nil {
 			return nil, err
 		}
-		if now := live.Add(1); now > most.Load() {
+		if now := open.Add(1); now > most.Load() {
 			most.Store(now)
 		}
-		return sender.frame(ctx, &countedSocket{Conn: raw, live: &live}, server.address)
+		return sender.newClientConnection(ctx, &countedSocket{Conn: raw, open: &open}, server.address)
 	}
 	sender.Warm(t.Context(), server.address, 100)
-	require.EqualValues(t, 4, live.Load(), "one of the share is kept for probes")
+	require.EqualValues(t, 4, open.Load(), "one of the share is kept for probes")
 	var waiting sync.WaitGroup
 	for number := range 200 {
 		waiting.Go(func() {
@@ -106,7 +107,7 @@
 	waiting.Wait()
 	require.EqualValues(t, 4, most.Load())
 	sender.Resize(server.address, 2)
-	require.LessOrEqual(t, live.Load(), int64(1))
+	require.LessOrEqual(t, open.Load(), int64(1))
 }
 
 func TestWithoutAShareNothingIsSent(t *testing.T) {
@@ -114,13 +115,13 @@
 	sender := newSender(t, Config{})
 	sender.Resize(server.address, 0)
 	require.IsType(t, query.AttemptFailed{}, sender.Send(t.Context(), attemptTo(server.address, 1)))
-	_, asked := sender.Probe(t.Context(), server.address)
-	require.False(t, asked)
+	_, probed := sender.Probe(t.Context(), server.address)
+	require.False(t, probed)
 	require.Zero(t, server.accepted.Load())
 	sender.Resize(server.address, 1)
 	require.IsType(t, query.PartArrived{}, sender.Send(t.Context(), attemptTo(server.address, 2)))
-	health, asked := sender.Probe(t.Context(), server.address)
-	require.True(t, asked)
+	health, probed := sender.Probe(t.Context(), server.address)
+	require.True(t, probed)
 	require.True(t, health.Reachable)
 	require.EqualValues(t, 1, server.accepted.Load())
 }
@@ -130,7 +131,7 @@
 	sender := newSender(t, Config{DefaultConnections: 4})
 	sender.Warm(t.Context(), server.address, 3)
 	require.Eventually(t, func() bool {
-		sender.serverAt(server.address).queries.sweep()
+		sender.serverAt(server.address).queries.pruneIdle()
 		open, _ := sender.Connections(server.address)
 		return open == 0
 	}, 5*time.Second, time.Millisecond)
--- a/internal/backend/probe_test.go
+++ b/internal/backend/probe_test.go
@@ -14,9 +14,9 @@
 	"github.com/martenstage/martenstage/internal/proof/testaddress"
 )
 
-// TestOnlyATimeoutIsSilence probes a server that accepts and says nothing, one
-// that closes the connection, and an address at which nobody listens.
-func TestOnlyATimeoutIsSilence(t *testing.T) {
+// TestOnlyATimeoutIsReportedAsSilent probes a server that accepts connections
+// and never replies, one that closes them, and an address without a listener.
+func TestOnlyATimeoutIsReportedAsSilent(t *testing.T) {
 	t.Parallel()
 	serve := func(handle func(net.Conn)) netip.AddrPort {
 		listener, err := net.Listen("tcp4", testaddress.Next().String())
@@ -49,14 +49,14 @@
 		"closed":  {serve(func(accepted net.Conn) { _ = accepted.Close() }), false},
 		"refused": {netip.MustParseAddrPort("127.0.0.1:1"), false},
 	} {
-		timeout := 30 * time.Second // a busy machine may take long to refuse
+		timeout := 30 * time.Second // a refusal may take long on a loaded machine
 		if test.silent {
 			timeout = 50 * time.Millisecond
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
-		observed, asked := client.Probe(ctx, test.address)
+		observed, probed := client.Probe(ctx, test.address)
 		cancel()
-		require.True(t, asked, name)
+		require.True(t, probed, name)
 		require.False(t, observed.Reachable, name)
 		require.Equal(t, test.silent, observed.Silent, name)
 	}
--- a/internal/backend/reply.go
+++ b/internal/backend/reply.go
@@ -12,29 +12,29 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// Causes of dropped replies, for the metric.
+// Causes for which replies are dropped, as label values of the metric.
 const (
 	causeAttempt = "attempt"
 	causeDigest  = "digest"
 	causeEcho    = "echo"
-	causeForm    = "form"
+	causeFormat  = "form"
 )
 
-// sentQuery identifies the attempt that a reply must answer.
+// sentQuery identifies the attempt that a reply must belong to.
 type sentQuery struct {
 	attempt query.AttemptID
-	// name is the attempt's id on the wire.
-	name string
+	// wireID is the attempt's id on the wire.
+	wireID string
 }
 
-// readReply turns a reply into the attempt's outcome and reports whether the
-// connection can be used again.
+// readReply converts a reply to the attempt's outcome and reports whether the
+// connection is reusable.
 func (s *Sender) readReply(ctx context.Context, sent sentQuery, response *http.Response) (query.Event, bool) {
 	body, err := s.readBody(response)
 	_ = response.Body.Close()
 	reusable := err == nil && !response.Close
-	report := readReport(response.Header)
-	if refused, ok := s.refusal(sent, response, report); ok {
+	report := parseReport(response.Header)
+	if refused, ok := s.parseRefusal(sent, response, report); ok {
 		return refused, reusable
 	}
 	failed := query.AttemptFailed{Attempt: sent.attempt, Verdict: verdict.MayHaveRun, Report: report}
@@ -56,56 +56,56 @@
 	return failed, reusable
 }
 
-// refusal recognizes a reply by which the back end proves that the query was
-// not run. The headers suffice: a body cut short changes nothing about it.
-func (s *Sender) refusal(sent sentQuery, response *http.Response, report query.Report) (query.AttemptFailed, bool) {
+// parseRefusal recognizes a reply by which the back end proves that the query
+// was not run. Only the headers matter: a truncated body does not weaken it.
+func (s *Sender) parseRefusal(sent sentQuery, response *http.Response, report query.Report) (query.AttemptFailed, bool) {
 	refusedStatus := response.StatusCode == http.StatusServiceUnavailable ||
 		response.StatusCode == http.StatusTooManyRequests
 	header := response.Header
-	if !refusedStatus || sole(header, backendapi.HeaderVerdict) != verdict.NotRun.String() {
+	if !refusedStatus || singleValue(header, backendapi.HeaderVerdict) != verdict.NotRun.String() {
 		return query.AttemptFailed{}, false
 	}
-	// A refusal of another attempt, or of none, proves nothing about this one.
-	if sole(header, backendapi.HeaderAttempt) != sent.name {
+	// A refusal that names another attempt, or none, is no proof for this one.
+	if singleValue(header, backendapi.HeaderAttempt) != sent.wireID {
 		s.metrics.badReplies.WithLabelValues(causeAttempt).Inc()
 		return query.AttemptFailed{}, false
 	}
-	failed := s.failure(sent.attempt, verdict.NotRun, backendapi.RefusalReason(header.Get(backendapi.HeaderReason)).Reason())
-	failed.RetryAfter = milliseconds(header.Get(backendapi.HeaderRetryAfter))
+	failed := s.recordFailure(sent.attempt, verdict.NotRun, backendapi.RefusalReason(header.Get(backendapi.HeaderReason)).Reason())
+	failed.RetryAfter = parseMilliseconds(header.Get(backendapi.HeaderRetryAfter))
 	failed.Report = report
 	return failed, true
 }
 
-// sole returns the value of a header that stands once. A header with two values
-// contradicts itself, and nothing may be built on it.
-func sole(header http.Header, name string) string {
+// singleValue returns the value of a header that occurs exactly once. A header
+// with several values is ambiguous and treated as absent.
+func singleValue(header http.Header, name string) string {
 	if values := header[name]; len(values) == 1 {
 		return values[0]
 	}
 	return ""
 }
 
-// readPart checks a reply's echo and digest and reads its part. A non-empty
-// cause says why the reply is to be dropped.
+// readPart verifies a reply's echoed headers and digest and decodes its part.
+// A non-empty cause is the reason for dropping the reply.
 func (s *Sender) readPart(sent sentQuery, header http.Header, body []byte) (query.PartArrived, string) {
-	if sole(header, backendapi.HeaderAttempt) != sent.name {
+	if singleValue(header, backendapi.HeaderAttempt) != sent.wireID {
 		return query.PartArrived{}, causeAttempt
 	}
 	if header.Get(backendapi.HeaderDigest) != backendapi.Digest(body) {
 		return query.PartArrived{}, causeDigest
 	}
-	echo, ok := readEcho(header)
+	echo, ok := parseEcho(header)
 	if !ok {
 		return query.PartArrived{}, causeEcho
 	}
-	part, err := readItems(body)
+	part, err := parsePart(body)
 	if err != nil {
-		return query.PartArrived{}, causeForm
+		return query.PartArrived{}, causeFormat
 	}
 	return query.PartArrived{Attempt: sent.attempt, Echo: echo, Part: part}, ""
 }
 
-func readEcho(header http.Header) (query.Echo, bool) {
+func parseEcho(header http.Header) (query.Echo, bool) {
 	const decimal, bits32, bits64 = 10, 32, 64
 	shard, shardErr := strconv.ParseUint(header.Get(backendapi.HeaderShard), decimal, bits32)
 	generation, generationErr := strconv.ParseUint(header.Get(backendapi.HeaderGeneration), decimal, bits32)
@@ -120,22 +120,22 @@
 	return echo, shardErr == nil && generationErr == nil && versionErr == nil
 }
 
-// readReport reads what a reply's headers say about its sender.
-func readReport(header http.Header) query.Report {
+// parseReport returns the back end's state as stated by a reply's headers.
+func parseReport(header http.Header) query.Report {
 	report := query.Report{Known: true, Draining: header.Get(backendapi.HeaderDraining) == "1"}
-	report.Load = readLoad(header.Get(backendapi.HeaderLoad))
-	report.Holdings = sole(header, backendapi.HeaderHoldings)
+	report.Load = parseLoad(header.Get(backendapi.HeaderLoad))
+	report.Holdings = singleValue(header, backendapi.HeaderHoldings)
 	return report
 }
 
-// readLoad reads "in_flight/slots/queued"; what is malformed counts as zero.
-func readLoad(text string) backendapi.Load {
+// parseLoad parses "in_flight/slots/queued"; malformed numbers count as zero.
+func parseLoad(text string) backendapi.Load {
 	inFlight, rest, _ := strings.Cut(text, "/")
 	slots, queued, _ := strings.Cut(rest, "/")
-	return backendapi.Load{InFlight: count(inFlight), Slots: count(slots), Queued: count(queued)}
+	return backendapi.Load{InFlight: parseCount(inFlight), Slots: parseCount(slots), Queued: parseCount(queued)}
 }
 
-func count(text string) int {
+func parseCount(text string) int {
 	parsed, err := strconv.Atoi(text)
 	if err != nil || parsed < 0 {
 		return 0
@@ -143,6 +143,6 @@
 	return parsed
 }
 
-func milliseconds(text string) time.Duration {
-	return time.Duration(count(text)) * time.Millisecond
+func parseMilliseconds(text string) time.Duration {
+	return time.Duration(parseCount(text)) * time.Millisecond
 }
--- a/internal/backend/send.go
+++ b/internal/backend/send.go
@@ -15,51 +15,51 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// Sender sends the attempts of one engine. Engines number their attempts
-// independently, so each has a sender with a name of its own.
+// Sender sends the attempts of one query engine. Engines number their attempts
+// independently, so each needs a sender with a unique name.
 type Sender struct {
 	*Client
 	name string
 }
 
-// Sender returns a sender whose name is part of its attempts' ids on the wire.
-// The name must differ between engines, routers and starts of one router.
+// Sender returns a sender whose name is a prefix of its attempts' ids on the
+// wire. The name must be unique across engines, routers and process starts.
 func (c *Client) Sender(name string) *Sender { return &Sender{Client: c, name: name} }
 
-// Send carries out one attempt and returns its one outcome, a
-// query.PartArrived or a query.AttemptFailed. Ending the context gives the
-// attempt up and closes its connection.
+// Send runs one attempt and returns its outcome, a query.PartArrived or a
+// query.AttemptFailed. Canceling the context aborts the attempt and closes its
+// connection.
 //
-// A kept connection may turn out to be dead before the first byte of the query
-// was handed to its socket. Then, and only then, another one is taken.
+// A pooled connection may turn out to be dead before the first byte of the
+// query is passed to its socket. Only in this case is another connection tried.
 func (s *Sender) Send(ctx context.Context, attempt query.Send) query.Event {
 	target := s.serverAt(attempt.Address)
-	name := s.attemptName(attempt.Attempt)
-	for dead := 0; ; dead++ {
-		connected, err := target.queries.acquire(ctx)
+	wireID := s.attemptWireID(attempt.Attempt)
+	for deadCount := 0; ; deadCount++ {
+		connection, err := target.queries.acquire(ctx)
 		if err != nil {
-			return s.failure(attempt.Attempt, verdict.NotRun, acquireReason(ctx, err))
+			return s.recordFailure(attempt.Attempt, verdict.NotRun, acquireReason(ctx, err))
 		}
-		connected.socket.begin()
-		response, err := connected.client.RoundTrip(s.newQuery(ctx, target, &attempt, name))
+		connection.socket.beginRequest()
+		response, err := connection.client.RoundTrip(s.newQuery(ctx, target, &attempt, wireID))
 		if err == nil {
-			outcome, reusable := s.readReply(ctx, sentQuery{attempt: attempt.Attempt, name: name}, response)
-			target.queries.release(connected, reusable)
+			outcome, reusable := s.readReply(ctx, sentQuery{attempt: attempt.Attempt, wireID: wireID}, response)
+			target.queries.release(connection, reusable)
 			return outcome
 		}
-		unwritten := connected.socket.seal()
-		target.queries.release(connected, false)
-		if !unwritten || ctx.Err() != nil || dead == maxDeadConnections {
-			return s.failure(attempt.Attempt, writeVerdict(unwritten), transportReason(ctx))
+		unwritten := connection.socket.sealUnwritten()
+		target.queries.release(connection, false)
+		if !unwritten || ctx.Err() != nil || deadCount == maxDeadConnections {
+			return s.recordFailure(attempt.Attempt, writeVerdict(unwritten), transportReason(ctx))
 		}
 		s.metrics.deadConnections.Inc()
 	}
 }
 
-// maxDeadConnections bounds the dead connections that one attempt steps over.
+// maxDeadConnections limits how many dead connections one attempt skips.
 const maxDeadConnections = 3
 
-// writeVerdict is the verdict on an attempt whose reply did not come.
+// writeVerdict returns the verdict for an attempt that received no reply.
 func writeVerdict(unwritten bool) verdict.Verdict {
 	if unwritten {
 		return verdict.NotRun
@@ -78,7 +78,8 @@
 	}
 }
 
-// transportReason tells a timeout and a cancellation from a broken connection.
+// transportReason distinguishes a timeout, a cancellation and a connection
+// failure.
 func transportReason(ctx context.Context) verdict.Reason {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
@@ -90,13 +91,14 @@
 	}
 }
 
-func (c *Client) failure(attempt query.AttemptID, ran verdict.Verdict, reason verdict.Reason) query.AttemptFailed {
-	c.metrics.attemptFailures.WithLabelValues(ran.String(), string(reason)).Inc()
-	return query.AttemptFailed{Attempt: attempt, Verdict: ran, Reason: reason}
+func (c *Client) recordFailure(attempt query.AttemptID, execution verdict.Verdict, reason verdict.Reason) query.AttemptFailed {
+	c.metrics.attemptFailures.WithLabelValues(execution.String(), string(reason)).Inc()
+	return query.AttemptFailed{Attempt: attempt, Verdict: execution, Reason: reason}
 }
 
-// attemptName is the attempt's id on the wire, unique over routers and starts.
-func (s *Sender) attemptName(attempt query.AttemptID) string {
+// attemptWireID returns the attempt's id on the wire, unique across routers and
+// process starts.
+func (s *Sender) attemptWireID(attempt query.AttemptID) string {
 	const decimal = 10
 	buffer := make([]byte, 0, len(s.name)+1+20)
 	buffer = append(buffer, s.name...)
@@ -104,8 +106,8 @@
 	return string(strconv.AppendUint(buffer, uint64(attempt), decimal))
 }
 
-// queryBody hides the type of its reader, so that net/http finds no way to
-// rewind the body and send it a second time.
+// queryBody hides the concrete type of its reader, so that net/http cannot
+// rewind the body and resend it.
 type queryBody struct{ *bytes.Reader }
 
 // Close implements io.Closer.
@@ -114,18 +116,19 @@
 // queryHeaders is the number of headers of a query, HeaderOnce included.
 const queryHeaders = 10
 
-// newQuery builds the HTTP request of an attempt. Its header values share one
-// array, since a router sends tens of thousands of them a second.
-func (s *Sender) newQuery(ctx context.Context, target *server, attempt *query.Send, name string) *http.Request {
+// newQuery builds the HTTP request of an attempt. The header values share one
+// array to save allocations: a router sends tens of thousands of queries per
+// second.
+func (s *Sender) newQuery(ctx context.Context, target *server, attempt *query.Send, wireID string) *http.Request {
 	const decimal = 10
 	values := make([]string, 0, queryHeaders)
 	header := make(http.Header, queryHeaders)
-	set := func(name, value string) {
+	set := func(wireID, value string) {
 		values = append(values, value)
-		header[name] = values[len(values)-1 : len(values) : len(values)]
+		header[wireID] = values[len(values)-1 : len(values) : len(values)]
 	}
 	set(backendapi.HeaderRequest, attempt.CallerID)
-	set(backendapi.HeaderAttempt, name)
+	set(backendapi.HeaderAttempt, wireID)
 	set(backendapi.HeaderService, attempt.Service)
 	set(backendapi.HeaderShard, strconv.FormatUint(uint64(attempt.Shard), decimal))
 	set(backendapi.HeaderGeneration, strconv.FormatUint(uint64(attempt.Generation), decimal))
@@ -136,7 +139,7 @@
 	if attempt.Once {
 		set(backendapi.HeaderOnce, "1")
 	}
-	request := target.template.WithContext(ctx)
+	request := target.requestTemplate.WithContext(ctx)
 	request.Header = header
 	request.Body = http.NoBody
 	if len(attempt.Body) > 0 {
@@ -146,8 +149,9 @@
 	return request
 }
 
-// newTemplate is what the queries to one server have in common.
-func newTemplate(host string) *http.Request {
+// newRequestTemplate returns a request with the fields that all queries to one
+// server share.
+func newRequestTemplate(host string) *http.Request {
 	return &http.Request{
 		Method:     http.MethodPost,
 		URL:        &url.URL{Scheme: "http", Host: host, Path: backendapi.PathQuery},
@@ -158,7 +162,7 @@
 	}
 }
 
-// readBody reads a reply body of bounded size.
+// readBody reads a reply body of at most MaxReplyBytes.
 func (c *Client) readBody(response *http.Response) ([]byte, error) {
 	limit := c.config.MaxReplyBytes
 	if response.ContentLength > limit {
