--- a/internal/callers/answer.go
+++ b/internal/callers/answer.go
@@ -16,14 +16,14 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// Answer is the document of an answered query.
+// Answer is the JSON document of an answered query.
 type Answer struct {
 	AnswerHead
 	Items []json.RawMessage `json:"items" nullable:"false" doc:"Merged items of the covered shards"`
 }
 
-// AnswerHead is everything but the items, which are written without another
-// pass through the encoder.
+// AnswerHead holds all fields but the items, which are written without being
+// encoded again.
 type AnswerHead struct {
 	Request        string    `json:"request" doc:"Request id, the caller's or a generated one"`
 	Route          string    `json:"route"`
@@ -41,14 +41,14 @@
 	ConfigRevision uint64    `json:"config_revision"`
 }
 
-// Snapshot names a state of an index.
+// Snapshot identifies one state of an index.
 type Snapshot struct {
 	Service    string `json:"service"`
 	Generation uint32 `json:"generation" doc:"Shard map"`
 	Version    uint64 `json:"version" doc:"Index version"`
 }
 
-// Covered is a shard whose part is in the answer.
+// Covered describes a shard whose part is in the answer.
 type Covered struct {
 	Shard     uint32 `json:"shard"`
 	Name      string `json:"name"`
@@ -56,27 +56,27 @@
 	ElapsedUs int64  `json:"elapsed_us" doc:"Time until the part came, microseconds"`
 }
 
-// Missing is a shard whose part is not in the answer.
+// Missing describes a shard whose part is not in the answer.
 type Missing struct {
 	Shard  uint32         `json:"shard"`
 	Name   string         `json:"name"`
 	Reason verdict.Reason `json:"reason"`
 }
 
-// Attempts is the load that the request put on back ends.
+// Attempts counts the attempts that the request sent to back ends.
 type Attempts struct {
 	First   int `json:"first"`
 	Hedges  int `json:"hedges"`
 	Retries int `json:"retries"`
 }
 
-// Timings says how long the answer took, in microseconds.
+// Timings holds the durations of the request, in microseconds.
 type Timings struct {
 	DecidedUs int64 `json:"decided_us" doc:"From arrival at the engine to the decision"`
 	TotalUs   int64 `json:"total_us" doc:"From the end of the request's headers to the writing of the answer"`
 }
 
-func headOf(request router.Request, answer query.Answer, total time.Duration) AnswerHead {
+func newAnswerHead(request router.Request, answer query.Answer, total time.Duration) AnswerHead {
 	return AnswerHead{
 		Request:    request.CallerID,
 		Route:      request.Route,
@@ -89,8 +89,8 @@
 			return Covered{Shard: shard.Shard, Name: shard.Name, Items: shard.Items,
 				ElapsedUs: shard.Elapsed.Microseconds()}
 		}),
-		Missing:        missingOf(answer),
-		Warnings:       warningsOf(answer),
+		Missing:        missingShards(answer),
+		Warnings:       answerWarnings(answer),
 		Attempts:       Attempts(answer.Attempts),
 		Restarts:       answer.Restarts,
 		Timings:        Timings{DecidedUs: answer.Elapsed.Microseconds(), TotalUs: total.Microseconds()},
@@ -98,14 +98,14 @@
 	}
 }
 
-func missingOf(answer query.Answer) []Missing {
+func missingShards(answer query.Answer) []Missing {
 	return lo.Map(answer.Missing, func(shard query.MissingShard, _ int) Missing {
 		return Missing{Shard: shard.Shard, Name: shard.Name, Reason: shard.Reason}
 	})
 }
 
-// warningsOf spells out what makes an answer less than whole and current.
-func warningsOf(answer query.Answer) []string {
+// answerWarnings describes why an answer is partial, late or outdated.
+func answerWarnings(answer query.Answer) []string {
 	warnings := []string{}
 	if !answer.Complete {
 		names := lo.Map(answer.Missing, func(shard query.MissingShard, _ int) string { return shard.Name })
@@ -121,23 +121,24 @@
 	return warnings
 }
 
-var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+var bufferPool = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// maxPooledBuffer keeps single huge answers from staying in memory.
+// maxPooledBuffer is the largest buffer that returns to the pool, so that a
+// single large answer doesn't stay in memory.
 const maxPooledBuffer = 1 << 20
 
-// writeAnswer sends an answer. The items were checked when they arrived, so
-// they are copied as they are.
+// writeAnswer sends an answer. The items were validated when they arrived, so
+// they are copied verbatim.
 func writeAnswer(writer http.ResponseWriter, head AnswerHead, items []json.RawMessage) error {
 	document, err := json.Marshal(head)
 	if err != nil {
 		return err
 	}
-	buffer := buffers.Get().(*bytes.Buffer)
+	buffer := bufferPool.Get().(*bytes.Buffer)
 	defer func() {
 		if buffer.Cap() <= maxPooledBuffer {
 			buffer.Reset()
-			buffers.Put(buffer)
+			bufferPool.Put(buffer)
 		}
 	}()
 	buffer.Write(document[:len(document)-1])
@@ -153,5 +154,5 @@
 	header.Set("Content-Type", "application/json")
 	header.Set("Content-Length", strconv.Itoa(buffer.Len()))
 	writer.WriteHeader(http.StatusOK)
-	return writeSteadily(writer, buffer.Bytes())
+	return writeInChunks(writer, buffer.Bytes())
 }
--- a/internal/callers/api.go
+++ b/internal/callers/api.go
@@ -1,7 +1,7 @@
 // Package callers serves the callers' API over HTTP: queries to routes, the
-// list of routes, health, readiness and status. It is registered with huma,
-// which serves the OpenAPI document at /openapi.json; docs/CALLERS.md is the
-// page for callers.
+// list of routes, health, readiness and status. The operations are registered
+// with huma, which serves the OpenAPI document at /openapi.json;
+// docs/CALLERS.md documents the API for callers.
 package callers
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// Router is what the API needs of the router.
+// Router is the part of the router that the API uses.
 type Router interface {
 	Query(ctx context.Context, request router.Request) query.Answer
 	RouteNamed(name string) (*plan.Route, bool)
@@ -34,18 +34,18 @@
 	Stop(ctx context.Context) error
 }
 
-// DefaultMaxBody bounds a query's body, in bytes.
+// DefaultMaxBody is the default limit of a query's body, in bytes.
 const DefaultMaxBody = 256 << 10
 
 // Config sets the limits of the API.
 type Config struct {
-	// MaxBody bounds a query's body, in bytes; 0 means DefaultMaxBody.
+	// MaxBody limits a query's body, in bytes; 0 means DefaultMaxBody.
 	MaxBody int64
-	// Metrics, when set, is served at /metrics.
+	// Metrics, if set, is served at /metrics.
 	Metrics http.Handler
 }
 
-// api holds what the handlers share.
+// api is the state that the handlers share.
 type api struct {
 	config Config
 	router Router
@@ -53,24 +53,24 @@
 	now    func() time.Time
 }
 
-// huma keeps its error constructor in a package variable.
-var installProblems sync.Once
+// installErrorConstructor guards huma.NewError, which is a package variable.
+var installErrorConstructor sync.Once
 
 // NewHandler returns the HTTP handler of the callers' API.
-func NewHandler(config Config, served Router, logger logrus.FieldLogger) http.Handler {
-	installProblems.Do(func() { huma.NewError = humaProblem })
+func NewHandler(config Config, queryRouter Router, logger logrus.FieldLogger) http.Handler {
+	installErrorConstructor.Do(func() { huma.NewError = newHumaProblem })
 	if config.MaxBody == 0 {
 		config.MaxBody = DefaultMaxBody
 	}
-	handlers := &api{config: config, router: served, logger: logger, now: steadyclock.Now}
+	handlers := &api{config: config, router: queryRouter, logger: logger, now: steadyclock.Now}
 	mux := http.NewServeMux()
-	settings := huma.DefaultConfig("martenstage callers' API", "1")
-	settings.DocsPath = ""
-	settings.CreateHooks = nil // no $schema links in documents
-	described := humago.New(mux, settings)
-	handlers.registerQuery(described)
-	handlers.registerRoutes(described)
-	handlers.registerHealth(described)
+	humaConfig := huma.DefaultConfig("martenstage callers' API", "1")
+	humaConfig.DocsPath = ""
+	humaConfig.CreateHooks = nil // no $schema links in documents
+	humaAPI := humago.New(mux, humaConfig)
+	handlers.registerQuery(humaAPI)
+	handlers.registerRoutes(humaAPI)
+	handlers.registerHealth(humaAPI)
 	if config.Metrics != nil {
 		mux.Handle("GET /metrics", config.Metrics)
 	}
@@ -79,7 +79,7 @@
 		problem.Title, problem.Status = "Not found", http.StatusNotFound
 		problem.write(writer)
 	})
-	return boundWrites(mux)
+	return limitWrites(mux)
 }
 
 // RouteInfo describes a route to callers.
@@ -93,7 +93,7 @@
 	Keyed      bool   `json:"keyed" doc:"Needs a key that selects the shard"`
 }
 
-// RouteList is the document of the routes in force.
+// RouteList is the JSON document that lists the active routes.
 type RouteList struct {
 	Routes []RouteInfo `json:"routes" nullable:"false"`
 }
@@ -102,8 +102,8 @@
 	Body RouteList
 }
 
-func (a *api) registerRoutes(described huma.API) {
-	huma.Register(described, huma.Operation{
+func (a *api) registerRoutes(humaAPI huma.API) {
+	huma.Register(humaAPI, huma.Operation{
 		OperationID: "list-routes", Method: http.MethodGet, Path: "/v1/routes", Summary: "List the routes in force",
 	}, func(context.Context, *struct{}) (*routesOutput, error) {
 		output := &routesOutput{}
@@ -127,10 +127,10 @@
 	})
 }
 
-// textOutput is a short text, which net/http labels text/plain.
+// textOutput is a short text; net/http sets its content type to text/plain.
 type textOutput struct{ Body []byte }
 
-// textResponses describes a text/plain reply.
+// textResponses describes a text/plain reply in the OpenAPI document.
 func textResponses(description string) map[string]*huma.Response {
 	return map[string]*huma.Response{"200": {
 		Description: description,
@@ -140,14 +140,14 @@
 
 type statusOutput struct{ Body router.Status }
 
-func (a *api) registerHealth(described huma.API) {
-	huma.Register(described, huma.Operation{
+func (a *api) registerHealth(humaAPI huma.API) {
+	huma.Register(humaAPI, huma.Operation{
 		OperationID: "healthz", Method: http.MethodGet, Path: "/healthz", Summary: "Whether the process is alive",
 		Responses: textResponses("Alive"),
 	}, func(context.Context, *struct{}) (*textOutput, error) {
 		return &textOutput{Body: []byte("ok\n")}, nil
 	})
-	huma.Register(described, huma.Operation{
+	huma.Register(humaAPI, huma.Operation{
 		OperationID: "readyz", Method: http.MethodGet, Path: "/readyz",
 		Summary:   "Whether requests are admitted: not without a lease, before the back ends are known, or once the router is stopping",
 		Responses: textResponses("Ready"),
@@ -157,7 +157,7 @@
 		}
 		return &textOutput{Body: []byte("ready\n")}, nil
 	})
-	huma.Register(described, huma.Operation{
+	huma.Register(humaAPI, huma.Operation{
 		OperationID: "status", Method: http.MethodGet, Path: "/status", Summary: "State of the router",
 	}, func(context.Context, *struct{}) (*statusOutput, error) {
 		return &statusOutput{Body: a.router.Status()}, nil
--- a/internal/callers/api_test.go
+++ b/internal/callers/api_test.go
@@ -29,8 +29,8 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// testPlan has two shards of two replicas, an ordinary route and one that runs
-// at most once.
+// testPlan returns a plan with two shards of two replicas, an ordinary route
+// and a keyed route whose requests run at most once.
 func testPlan() *plan.Plan {
 	shard := func(id uint32, name string) plan.Shard {
 		replica := plan.Replica{Address: netip.MustParseAddrPort("127.0.0.1:0"), Zone: "a", Slots: 8, Connections: 40}
@@ -62,26 +62,26 @@
 	}
 }
 
-// site is a router with its callers' API over an emulated fleet.
-type site struct {
+// testRouter is a router with its callers' API in front of emulated back ends.
+type testRouter struct {
 	t     *testing.T
 	fleet *emulator.Fleet
-	// closeFleet ends the back ends, after which the record is complete.
+	// closeFleet stops the back ends, after which the record is complete.
 	closeFleet func()
 	record     *emulator.MemoryRecorder
 	address    string
-	// stop begins the planned stop, ended carries its result.
-	stop  context.CancelFunc
-	ended chan error
+	// stop begins the planned stop, stopResult receives its result.
+	stop       context.CancelFunc
+	stopResult chan error
 }
 
-func newSite(t *testing.T, serviceTime time.Duration, stopping StopConfig) *site {
+func newTestRouter(t *testing.T, serviceTime time.Duration, stopping StopConfig) *testRouter {
 	t.Helper()
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	whole := testPlan()
+	unbound := testPlan()
 	record := &emulator.MemoryRecorder{}
-	config := emulator.Config{Plans: []*plan.Plan{whole}, QueuePerSlot: 64, FirstVersion: 1, MaxBody: 1 << 20,
+	config := emulator.Config{Plans: []*plan.Plan{unbound}, QueuePerSlot: 64, FirstVersion: 1, MaxBody: 1 << 20,
 		Model: servicetime.Model{Default: servicetime.Distribution{Median: serviceTime}}}
 	fleet, err := emulator.New(config, emulator.Dependencies{Recorder: record, Logger: logger})
 	require.NoError(t, err)
@@ -96,17 +96,17 @@
 			Backends:  backend.New(backend.Config{Zone: "a"}, backend.Dependencies{Logger: logger, Registerer: registry}),
 			Claims:    router.NewLocalClaims(),
 			Events:    router.EventLog{Logger: logger},
-			Source:    &router.StaticSource{Plan: fleet.BoundPlan(whole), File: "test"},
+			Source:    &router.StaticSource{Plan: fleet.BoundPlan(unbound), File: "test"},
 			NewEngine: func(int) router.Engine { return query.New(query.Config{Zone: "a"}) },
 		})
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	created := &site{t: t, fleet: fleet, closeFleet: closeFleet, record: record, address: listener.Addr().String(), ended: make(chan error, 1)}
+	created := &testRouter{t: t, fleet: fleet, closeFleet: closeFleet, record: record, address: listener.Addr().String(), stopResult: make(chan error, 1)}
 	created.run(served, NewServer(stopping, NewHandler(Config{MaxBody: 1024}, served, logger), served, logger), listener)
 	return created
 }
 
-func (s *site) run(served *router.Router, server *Server, listener net.Listener) {
+func (s *testRouter) run(served *router.Router, server *Server, listener net.Listener) {
 	stopping, stop := context.WithCancel(context.Background())
 	running, end := context.WithCancel(context.Background())
 	s.stop = stop
@@ -116,12 +116,12 @@
 		err := server.Run(stopping, listener)
 		end()
 		<-routerEnded
-		s.ended <- err
-		close(s.ended)
+		s.stopResult <- err
+		close(s.stopResult)
 	}()
 	s.t.Cleanup(func() {
 		stop()
-		<-s.ended
+		<-s.stopResult
 	})
 	require.Eventually(s.t, func() bool {
 		response, err := http.Get("http://" + s.address + "/readyz")
@@ -131,14 +131,14 @@
 		_ = response.Body.Close()
 		return response.StatusCode == http.StatusOK
 	}, 10*time.Second, time.Millisecond)
-	// Ready means that the first request is answered, not that it is refused
-	// for want of a snapshot.
+	// Once the router is ready, the first request must be answered and not be
+	// refused because no snapshot is available.
 	status, document := s.post("/v1/routes/find/query", "", `{"first":true}`)
 	require.Equal(s.t, http.StatusOK, status, "%v", document)
 }
 
-// post sends a query and returns status and document.
-func (s *site) post(path, id, body string) (int, map[string]any) {
+// post sends a query and returns the status and the decoded document.
+func (s *testRouter) post(path, id, body string) (int, map[string]any) {
 	s.t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+s.address+path, strings.NewReader(body))
 	require.NoError(s.t, err)
@@ -153,9 +153,9 @@
 	return response.StatusCode, document
 }
 
-// executions counts the executions of a request id in the back ends' record,
-// which it completes by ending them.
-func (s *site) executions(id string) int {
+// executions counts the executions of a request id in the back ends' record. It
+// stops the back ends first, so that the record is complete.
+func (s *testRouter) executions(id string) int {
 	s.closeFleet()
 	count := 0
 	for _, execution := range s.record.Executions() {
@@ -166,8 +166,8 @@
 	return count
 }
 
-func TestAnswerStatesItsCoverage(t *testing.T) {
-	s := newSite(t, time.Millisecond, StopConfig{Limit: time.Minute})
+func TestAnswerReportsItsCoverage(t *testing.T) {
+	s := newTestRouter(t, time.Millisecond, StopConfig{Limit: time.Minute})
 	status, answer := s.post("/v1/routes/find/query", "whole", `{"q":"desk"}`)
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, "whole", answer["request"])
@@ -179,7 +179,7 @@
 }
 
 func TestBadRequestsAreRefusedWithNothingRun(t *testing.T) {
-	s := newSite(t, time.Millisecond, StopConfig{Limit: time.Minute})
+	s := newTestRouter(t, time.Millisecond, StopConfig{Limit: time.Minute})
 	cases := map[string]struct {
 		path, id, body string
 		status         int
@@ -206,7 +206,7 @@
 			require.Less(t, len(fmt.Sprint(problem)), 1000, "a refusal repeats little of what it was sent")
 		})
 	}
-	// A length that is not announced is bounded, too.
+	// The limit also applies to a body without a Content-Length.
 	endless := io.MultiReader(strings.NewReader(`"`), strings.NewReader(strings.Repeat("x", 1<<20)))
 	response, err := http.Post("http://"+s.address+"/v1/routes/find/query", "application/json", endless)
 	require.NoError(t, err)
@@ -218,8 +218,8 @@
 	}
 }
 
-// A refusal that another try may overcome says when, in the reply itself.
-func TestTemporaryRefusalsSayWhenToComeBack(t *testing.T) {
+// A refusal that a retry may overcome carries Retry-After.
+func TestTemporaryRefusalsCarryRetryAfter(t *testing.T) {
 	for reason, kind := range reasonStatus {
 		recorder := httptest.NewRecorder()
 		newProblem(verdict.Refuse(reason, "")).write(recorder)
@@ -234,7 +234,7 @@
 }
 
 func TestRequestIDIsUsedOnce(t *testing.T) {
-	s := newSite(t, time.Millisecond, StopConfig{Limit: time.Minute})
+	s := newTestRouter(t, time.Millisecond, StopConfig{Limit: time.Minute})
 	status, _ := s.post("/v1/routes/send/query?key=k", "send-1", `{"to":"host"}`)
 	require.Equal(t, http.StatusOK, status)
 	require.Eventually(t, func() bool {
@@ -247,7 +247,7 @@
 }
 
 func TestClosingTheConnectionCancelsTheAttempts(t *testing.T) {
-	s := newSite(t, time.Millisecond, StopConfig{Limit: time.Minute})
+	s := newTestRouter(t, time.Millisecond, StopConfig{Limit: time.Minute})
 	_, err := s.fleet.Inject(emulator.Fault{Kind: emulator.FaultSlow, Factor: 1500})
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -265,8 +265,8 @@
 	require.Eventually(t, func() bool { return s.inFlight() == 0 && s.canceled("gone") == 2 }, 10*time.Second, 5*time.Millisecond)
 }
 
-// inFlight is the true number of queries that run on the back ends.
-func (s *site) inFlight() int {
+// inFlight returns the number of queries that the back ends are running.
+func (s *testRouter) inFlight() int {
 	running := 0
 	for _, server := range s.fleet.State().Servers {
 		running += server.Health.Load.InFlight
@@ -274,8 +274,8 @@
 	return running
 }
 
-// canceled counts the executions of a request that were cut short.
-func (s *site) canceled(id string) int {
+// canceled counts the executions of a request that were canceled.
+func (s *testRouter) canceled(id string) int {
 	count := 0
 	for _, execution := range s.record.Executions() {
 		if execution.Request == id && execution.Canceled {
@@ -285,10 +285,10 @@
 	return count
 }
 
-// Callers send without a pause through a planned stop. None may see its
-// connection cut, and what is refused must not have run.
-func TestPlannedStopCutsNothing(t *testing.T) {
-	s := newSite(t, 20*time.Millisecond, StopConfig{
+// Callers send continuously during a planned stop. No connection may be cut,
+// and a refused request must not have run.
+func TestPlannedStopDropsNoRequest(t *testing.T) {
+	s := newTestRouter(t, 20*time.Millisecond, StopConfig{
 		Notice: 300 * time.Millisecond, Quiet: time.Second, QuietLimit: 30 * time.Second, Limit: time.Minute,
 	})
 	const callers = 24
@@ -325,18 +325,18 @@
 	s.stop()
 	close(stopped)
 	sending.Wait()
-	require.NoError(t, <-s.ended)
+	require.NoError(t, <-s.stopResult)
 	require.Len(t, refused, callers)
 	require.Greater(t, servedDuringNotice, callers)
 	s.closeFleet()
 	for _, execution := range s.record.Executions() {
 		require.False(t, refused[execution.Request], "refused as not run, yet sent to a back end: %s", execution.Request)
-		require.False(t, answered[execution.Request] && execution.Canceled, "answered, yet cut short")
+		require.False(t, answered[execution.Request] && execution.Canceled, "answered, yet canceled")
 	}
 }
 
 func TestNotReadyOnceStopping(t *testing.T) {
-	s := newSite(t, time.Millisecond, StopConfig{Notice: 5 * time.Second, Limit: time.Minute})
+	s := newTestRouter(t, time.Millisecond, StopConfig{Notice: 5 * time.Second, Limit: time.Minute})
 	s.stop()
 	require.Eventually(t, func() bool {
 		response, err := http.Get("http://" + s.address + "/readyz")
@@ -347,14 +347,14 @@
 	response, err := http.Post("http://"+s.address+"/v1/routes/find/query", "application/json", strings.NewReader(`{}`))
 	require.NoError(t, err)
 	require.NoError(t, response.Body.Close())
-	require.Equal(t, http.StatusOK, response.StatusCode, "serves on")
-	require.True(t, response.Close, "tells the caller to connect elsewhere")
+	require.Equal(t, http.StatusOK, response.StatusCode, "continues to serve")
+	require.True(t, response.Close, "makes the caller reconnect to another router")
 }
 
-// A request that outlives the limit is cut off, and the stop says so instead
-// of lasting forever.
+// A request that is still running at the stop's time limit is cut off, and the
+// stop returns an error instead of waiting indefinitely.
 func TestStopEndsAtItsLimit(t *testing.T) {
-	s := newSite(t, time.Millisecond, StopConfig{Limit: 100 * time.Millisecond})
+	s := newTestRouter(t, time.Millisecond, StopConfig{Limit: 100 * time.Millisecond})
 	_, err := s.fleet.Inject(emulator.Fault{Kind: emulator.FaultSlow, Factor: 1500})
 	require.NoError(t, err)
 	cut := make(chan error, 1)
@@ -367,21 +367,21 @@
 	}()
 	require.Eventually(t, func() bool { return s.inFlight() == 2 }, 10*time.Second, time.Millisecond)
 	s.stop()
-	require.ErrorContains(t, <-s.ended, "still in flight")
+	require.ErrorContains(t, <-s.stopResult, "still in flight")
 	require.Error(t, <-cut)
 }
 
-// Callers who heed neither readiness nor refusals connect anew without a pause.
-// Each of their connections is answered or refused by the kernel; none that was
-// made is reset by the closing of the listener.
+// Callers that ignore readiness and refusals reconnect continuously. Each
+// connection must be answered or refused by the kernel; closing the listener
+// must not reset an established one.
 //
-// Beside load some were reset, and once the first request after readiness got 503 no_lease. The
-// handshakes under way, which /proc/net/tcp shows, got 50 ms, then a second, to end: less than a
-// packet takes that is lost once. They now have four (TestAHandshakeThatLostPacketsIsNotReset). And
-// the router told readiness before its engines held the lease (TestReadyOnlyOnceEnginesHoldTheLease).
-func TestClosingTheListenerResetsNobody(t *testing.T) {
+// Under load, connections were reset when pending handshakes (see /proc/net/tcp) had 50 ms, or
+// later a second, to complete: too short for a lost packet to be retransmitted. They now have four
+// seconds (TestHandshakeWithLostPacketsIsNotReset). Once, the first request after readiness got
+// 503 no_lease, since the router reported ready before its engines held the lease.
+func TestClosingTheListenerResetsNoConnection(t *testing.T) {
 	for range 5 {
-		s := newSite(t, time.Millisecond, StopConfig{Quiet: time.Minute, QuietLimit: 100 * time.Millisecond, Limit: time.Minute})
+		s := newTestRouter(t, time.Millisecond, StopConfig{Quiet: time.Minute, QuietLimit: 100 * time.Millisecond, Limit: time.Minute})
 		const callers = 64
 		faults := make(chan error, callers)
 		var sending sync.WaitGroup
@@ -405,7 +405,7 @@
 		}
 		s.stop()
 		sending.Wait()
-		require.NoError(t, <-s.ended)
+		require.NoError(t, <-s.stopResult)
 		close(faults)
 		for err := range faults {
 			require.NoError(t, err)
--- a/internal/callers/connections.go
+++ b/internal/callers/connections.go
@@ -10,13 +10,13 @@
 	"github.com/martenstage/martenstage/internal/wait"
 )
 
-// newGrace is how long a connection on which nothing has come yet is waited for.
-const newGrace = time.Second
+// newConnectionGrace is how long a new connection that has sent nothing yet counts as busy.
+const newConnectionGrace = time.Second
 
-// connections knows which of the callers' connections may carry a request.
-// http.Server.Shutdown drops, without a reply, a request whose head it reads
-// after its begin, so it must not begin while there are such connections.
-type connections struct {
+// connectionTracker records which of the callers' connections may carry a
+// request. http.Server.Shutdown drops, without a reply, a request whose header
+// it reads after Shutdown began, so it must not begin while there are any.
+type connectionTracker struct {
 	mutex  sync.Mutex
 	states map[net.Conn]connectionState
 }
@@ -26,12 +26,12 @@
 	since time.Time
 }
 
-func newConnections() *connections {
-	return &connections{states: make(map[net.Conn]connectionState)}
+func newConnectionTracker() *connectionTracker {
+	return &connectionTracker{states: make(map[net.Conn]connectionState)}
 }
 
 // observe is the ConnState hook of an http.Server.
-func (c *connections) observe(connection net.Conn, state http.ConnState) {
+func (c *connectionTracker) observe(connection net.Conn, state http.ConnState) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if state == http.StateClosed || state == http.StateHijacked {
@@ -41,23 +41,23 @@
 	c.states[connection] = connectionState{state: state, since: time.Now()}
 }
 
-// busy reports whether a connection carries a request, or was made so lately
-// that one may be on its way.
-func (c *connections) busy(now time.Time) bool {
+// anyBusy reports whether a connection carries a request, or is so new that its
+// first request may still be in transit.
+func (c *connectionTracker) anyBusy(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for _, one := range c.states {
-		if one.state == http.StateActive || (one.state == http.StateNew && now.Sub(one.since) < newGrace) {
+	for _, tracked := range c.states {
+		if tracked.state == http.StateActive || (tracked.state == http.StateNew && now.Sub(tracked.since) < newConnectionGrace) {
 			return true
 		}
 	}
 	return false
 }
 
-// awaitIdle returns once no connection is busy, or the context ends.
-func (c *connections) awaitIdle(ctx context.Context) {
+// awaitIdle waits until no connection is busy or the context is done.
+func (c *connectionTracker) awaitIdle(ctx context.Context) {
 	const step = 5 * time.Millisecond
-	for c.busy(time.Now()) && ctx.Err() == nil {
+	for c.anyBusy(time.Now()) && ctx.Err() == nil {
 		wait.For(ctx, step)
 	}
 }
--- a/internal/callers/gate.go
+++ b/internal/callers/gate.go
@@ -14,101 +14,101 @@
 	"github.com/martenstage/martenstage/internal/wait"
 )
 
-// maxBacklog bounds the connections that are taken in at the end. It is what
-// Linux lets wait on one listener by default.
+// maxBacklog limits the connections that are accepted during the drain. It is
+// the default limit of a listener's accept queue on Linux.
 const maxBacklog = 4096
 
-// Times of handshakes that are under way when a listener begins no new ones.
+// Time limits for pending handshakes once the listener drops new ones.
 const (
-	// handshakeTime is how long they may take to end where the system does not tell how many
-	// there are, and the least time otherwise.
-	handshakeTime = 50 * time.Millisecond
-	// handshakeLimit is how long they are waited for, within the limit of the stop: who has
-	// not ended one by then is reset. A packet of it that is lost is sent again after a second,
-	// and again after that (RFC 6298, section 2).
-	handshakeLimit = 4 * time.Second
-	// handshakePoll is the least pause between two counts of them; as long as a count took, at
-	// least, since the table that is read holds all connections of the machine.
-	handshakePoll = 10 * time.Millisecond
+	// minHandshakeWait is the time to complete them where the system does not report how many
+	// are pending, and the minimum wait otherwise.
+	minHandshakeWait = 50 * time.Millisecond
+	// maxHandshakeWait limits the further wait for them, within the limit of the stop; a
+	// connection still in its handshake is then reset. A lost handshake packet is retransmitted
+	// after a second, and again later (RFC 6298, section 2).
+	maxHandshakeWait = 4 * time.Second
+	// handshakePollInterval is the minimum pause between two counts. The pause also lasts at least
+	// as long as the last count, which reads a table of all connections of the machine.
+	handshakePollInterval = 10 * time.Millisecond
 )
 
-// rawListener is what a gate needs of a TCP listener.
-type rawListener interface {
+// tcpListener is the part of a TCP listener that a drainableListener uses.
+type tcpListener interface {
 	net.Listener
 	SetDeadline(time.Time) error
 	SyscallConn() (syscall.RawConn, error)
 }
 
-// gate is a listener that can be closed without a reset to connections that
-// the kernel has completed and nobody has accepted yet: closing a TCP listener
-// resets those.
-type gate struct {
-	rawListener
-	// wanted is sent to whenever the server asks for a connection, arrived when
-	// it is given one.
-	wanted  chan struct{}
-	arrived chan accepted
-	// draining is set by drain, with the time that bounds it; drained is closed once the
-	// backlog is taken.
+// drainableListener is a listener that can be closed without resetting the
+// connections that the kernel has established but that are not accepted yet.
+// Closing a TCP listener resets those.
+type drainableListener struct {
+	tcpListener
+	// acceptCalls receives a value for each call of Accept, acceptResults
+	// carries the call's result.
+	acceptCalls   chan struct{}
+	acceptResults chan acceptResult
+	// draining is set by drain, to the context that limits it; drained is closed once the
+	// server has accepted the backlog.
 	draining atomic.Pointer[context.Context]
 	drained  chan struct{}
 	closed   chan struct{}
 	close    func() error
 }
 
-type accepted struct {
+type acceptResult struct {
 	connection net.Conn
 	err        error
 }
 
-// newGate returns a gate over a TCP listener and begins to accept.
-func newGate(listener rawListener) *gate {
-	created := &gate{
-		rawListener: listener,
+// newDrainableListener wraps a TCP listener and starts to accept connections.
+func newDrainableListener(listener tcpListener) *drainableListener {
+	drainable := &drainableListener{
+		tcpListener: listener,
 
-		wanted:  make(chan struct{}),
-		arrived: make(chan accepted),
-		drained: make(chan struct{}),
-		closed:  make(chan struct{}),
+		acceptCalls:   make(chan struct{}),
+		acceptResults: make(chan acceptResult),
+		drained:       make(chan struct{}),
+		closed:        make(chan struct{}),
 	}
-	created.close = sync.OnceValue(func() error {
-		close(created.closed)
+	drainable.close = sync.OnceValue(func() error {
+		close(drainable.closed)
 		if err := listener.Close(); !errors.Is(err, net.ErrClosed) {
 			return err
 		}
-		return nil // drain closed it
+		return nil // already closed by drain
 	})
-	go created.run()
-	return created
+	go drainable.run()
+	return drainable
 }
 
-// run accepts until the gate is drained or closed.
-func (g *gate) run() {
+// run accepts connections until the listener is drained or closed.
+func (g *drainableListener) run() {
 	defer close(g.drained)
 	for g.draining.Load() == nil {
-		connection, err := g.rawListener.Accept()
+		connection, err := g.tcpListener.Accept()
 		if err != nil && g.draining.Load() != nil {
 			break
 		}
-		if !g.hand(accepted{connection: connection, err: err}) {
+		if !g.deliver(acceptResult{connection: connection, err: err}) {
 			return
 		}
 	}
-	for _, connection := range g.takeBacklog() {
-		if !g.hand(accepted{connection: connection}) {
+	for _, connection := range g.acceptBacklog() {
+		if !g.deliver(acceptResult{connection: connection}) {
 			return
 		}
 	}
-	// The server has the last one in its care when it asks for another.
-	g.await()
+	// The next Accept call shows that the server handles the last connection.
+	g.awaitAcceptCall()
 }
 
-// takeBacklog begins no new connections, accepts those that wait, and closes
-// the listener right after.
-func (g *gate) takeBacklog() []net.Conn {
+// acceptBacklog drops new handshakes, accepts the connections in the backlog,
+// and closes the listener immediately afterwards.
+func (g *drainableListener) acceptBacklog() []net.Conn {
 	var descriptors []int
 	if raw, err := g.SyscallConn(); err == nil {
-		_ = raw.Control(refuseHandshakes)
+		_ = raw.Control(dropNewHandshakes)
 		awaitHandshakes(*g.draining.Load(), g.Addr())
 		_ = raw.Control(func(listener uintptr) {
 			for len(descriptors) < maxBacklog {
@@ -120,7 +120,7 @@
 			}
 		})
 	}
-	_ = g.rawListener.Close()
+	_ = g.tcpListener.Close()
 	connections := make([]net.Conn, 0, len(descriptors))
 	for _, descriptor := range descriptors {
 		syscall.CloseOnExec(descriptor)
@@ -133,70 +133,71 @@
 	return connections
 }
 
-// awaitHandshakes returns once no handshake is under way at an address any more, or after the
-// limit of those.
+// awaitHandshakes waits until no handshake is pending at an address, at most for
+// minHandshakeWait and maxHandshakeWait together.
 func awaitHandshakes(ctx context.Context, address net.Addr) {
-	ctx, cancel := context.WithTimeout(ctx, handshakeTime+handshakeLimit)
+	ctx, cancel := context.WithTimeout(ctx, minHandshakeWait+maxHandshakeWait)
 	defer cancel()
-	wait.For(ctx, handshakeTime)
+	wait.For(ctx, minHandshakeWait)
 	for ctx.Err() == nil {
-		began := time.Now()
-		if open, known := handshakesOpen(address); !known || open == 0 {
+		started := time.Now()
+		if pending, known := countHandshakes(address); !known || pending == 0 {
 			return
 		}
-		wait.For(ctx, max(handshakePoll, time.Since(began)))
+		wait.For(ctx, max(handshakePollInterval, time.Since(started)))
 	}
 }
 
-// await returns when the server asks for a connection, by when it has taken
-// the one before into its care, or when the gate is closed.
-func (g *gate) await() bool {
+// awaitAcceptCall waits for a call of Accept and returns true, or returns false
+// once the listener is closed. By the time of the call, the server handles the
+// connection before.
+func (g *drainableListener) awaitAcceptCall() bool {
 	select {
-	case <-g.wanted:
+	case <-g.acceptCalls:
 		return true
 	case <-g.closed:
 		return false
 	}
 }
 
-// hand gives a connection to the server. It returns false once the gate is
-// closed.
-func (g *gate) hand(one accepted) bool {
-	if g.await() {
+// deliver passes a connection to the next call of Accept. It returns false once
+// the listener is closed.
+func (g *drainableListener) deliver(result acceptResult) bool {
+	if g.awaitAcceptCall() {
 		select {
-		case g.arrived <- one:
+		case g.acceptResults <- result:
 			return true
 		case <-g.closed:
 		}
 	}
-	if one.connection != nil {
-		_ = one.connection.Close()
+	if result.connection != nil {
+		_ = result.connection.Close()
 	}
 	return false
 }
 
 // Accept implements net.Listener.
-func (g *gate) Accept() (net.Conn, error) {
+func (g *drainableListener) Accept() (net.Conn, error) {
 	select {
-	case g.wanted <- struct{}{}:
+	case g.acceptCalls <- struct{}{}:
 	case <-g.closed:
 		return nil, net.ErrClosed
 	}
 	select {
-	case one := <-g.arrived:
-		return one.connection, one.err
+	case result := <-g.acceptResults:
+		return result.connection, result.err
 	case <-g.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (g *gate) Close() error { return g.close() }
+func (g *drainableListener) Close() error { return g.close() }
 
-// drain takes in the connections that were completed so far, hands them to the
-// server, and lets nobody connect any more. The context bounds what it waits for.
-func (g *gate) drain(ctx context.Context) {
+// drain accepts the connections established so far, delivers them to the server
+// and prevents new ones. The context limits the wait for pending handshakes.
+func (g *drainableListener) drain(ctx context.Context) {
 	g.draining.Store(&ctx)
-	_ = g.SetDeadline(time.Unix(1, 0)) // wakes run
+	_ = g.SetDeadline(time.Unix(1, 0)) // interrupts Accept in run
 	<-g.drained
 }
--- a/internal/callers/gate_linux.go
+++ b/internal/callers/gate_linux.go
@@ -10,11 +10,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// refuseHandshakes makes the kernel drop the packets that begin a connection to
-// a listener. Handshakes under way go on. Who is dropped tries again after a
-// second, when the listener is closed, and is refused. Best effort: without the
-// filter a connection may be reset that was made in the moment of closing.
-func refuseHandshakes(listener uintptr) {
+// dropNewHandshakes makes the kernel drop SYN packets to a listener. Pending
+// handshakes continue. A client whose SYN was dropped retransmits it after a
+// second, when the listener is closed, and its connection is refused. This is
+// best effort: without the filter, a connection established while the listener
+// is being closed may be reset.
+func dropNewHandshakes(listener uintptr) {
 	const (
 		flagsOffset = 13 // in the TCP header
 		flagSYN     = 0x02
@@ -22,7 +23,7 @@
 		drop        = 0
 	)
 	// A classic BPF program (McCanne and Jacobson, "The BSD packet filter",
-	// 1993) sees a packet from its TCP header on.
+	// 1993); on a TCP socket, offset 0 is the start of the TCP header.
 	program := []unix.SockFilter{
 		{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: flagsOffset},
 		{Code: unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K, Jt: 0, Jf: 1, K: flagSYN},
@@ -33,9 +34,9 @@
 		&unix.SockFprog{Len: uint16(len(program)), Filter: &program[0]})
 }
 
-// handshakesOpen counts the handshakes under way at a listener's address, of which the last
-// packet has not come. It is known only where the system tells (proc_net_tcp(5)).
-func handshakesOpen(address net.Addr) (open int, known bool) {
+// countHandshakes counts the pending handshakes at a listener's address, whose final ACK has not
+// arrived. The count is known only where the system reports it (proc_net_tcp(5)).
+func countHandshakes(address net.Addr) (pending int, known bool) {
 	const (
 		fieldLocal, fieldState = 1, 3
 		stateHandshake         = "03"
@@ -47,17 +48,17 @@
 	for _, table := range []string{"/proc/net/tcp", "/proc/net/tcp6"} {
 		file, err := os.Open(table)
 		if err != nil {
-			continue // Without IPv6 there is one table, in some surroundings none.
+			continue // The second table needs IPv6; some environments have neither.
 		}
 		known = true
 		port := fmt.Sprintf(":%04X", listener.Port)
 		for lines := bufio.NewScanner(file); lines.Scan(); {
 			fields := strings.Fields(lines.Text())
 			if len(fields) > fieldState && fields[fieldState] == stateHandshake && strings.HasSuffix(fields[fieldLocal], port) {
-				open++
+				pending++
 			}
 		}
 		_ = file.Close()
 	}
-	return open, known
+	return pending, known
 }
--- a/internal/callers/gate_linux_test.go
+++ b/internal/callers/gate_linux_test.go
@@ -12,14 +12,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// deafDialer connects by a socket that takes no packet until it is told to hear.
-type deafDialer struct {
+// droppingDialer connects with a socket that drops all incoming packets until
+// stopDropping is called.
+type droppingDialer struct {
 	net.Dialer
 	socket chan syscall.RawConn
 }
 
-func newDeafDialer(t *testing.T) *deafDialer {
-	dialer := &deafDialer{socket: make(chan syscall.RawConn, 1)}
+func newDroppingDialer(t *testing.T) *droppingDialer {
+	dialer := &droppingDialer{socket: make(chan syscall.RawConn, 1)}
 	dialer.Control = func(_, _ string, socket syscall.RawConn) error {
 		drop := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 0}}
 		var failed error
@@ -33,7 +34,7 @@
 	return dialer
 }
 
-func (d *deafDialer) hear(t *testing.T) {
+func (d *droppingDialer) stopDropping(t *testing.T) {
 	var failed error
 	require.NoError(t, (<-d.socket).Control(func(descriptor uintptr) {
 		failed = unix.SetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_DETACH_FILTER, 0)
@@ -41,15 +42,15 @@
 	require.NoError(t, failed)
 }
 
-// TestAHandshakeThatLostPacketsIsNotReset has a caller hear nothing of its handshake while the
-// router's stop closes the listener, until the router's kernel has sent its answer twice, at
-// once and after a second. The third reaches the caller: it then has its connection, and
-// is told that its request was not run. A listener that closes before resets it, and the caller
-// can't know that nothing of its request was read.
-func TestAHandshakeThatLostPacketsIsNotReset(t *testing.T) {
-	const firstRepeat = time.Second // RFC 6298, section 2.1
-	s := newSite(t, time.Millisecond, StopConfig{Limit: time.Minute})
-	dialer := newDeafDialer(t)
+// TestHandshakeWithLostPacketsIsNotReset drops the first two SYN-ACKs of a caller's handshake,
+// sent immediately and after a second, while the router's planned stop closes the listener. The
+// third one arrives, and the caller gets a reply that its request was not run. If the listener
+// closed earlier, the connection would be reset, and the caller couldn't know that its request
+// was never read.
+func TestHandshakeWithLostPacketsIsNotReset(t *testing.T) {
+	const firstRetransmission = time.Second // RFC 6298, section 2.1
+	s := newTestRouter(t, time.Millisecond, StopConfig{Limit: time.Minute})
+	dialer := newDroppingDialer(t)
 	client := http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}}
 	answered := make(chan error, 1)
 	go func() {
@@ -63,19 +64,19 @@
 	listener, err := net.ResolveTCPAddr("tcp4", s.address)
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
-		open, known := handshakesOpen(listener)
-		return known && open == 1
+		pending, known := countHandshakes(listener)
+		return known && pending == 1
 	}, 10*time.Second, time.Millisecond)
 	s.stop()
-	time.Sleep(firstRepeat + firstRepeat/2)
-	dialer.hear(t)
+	time.Sleep(firstRetransmission + firstRetransmission/2)
+	dialer.stopDropping(t)
 	require.NoError(t, <-answered)
-	require.NoError(t, <-s.ended)
+	require.NoError(t, <-s.stopResult)
 }
 
-// BenchmarkHandshakesOpen counts the handshakes at a listener beside 2,000 connections, each of
-// which has two entries in the system's table.
-func BenchmarkHandshakesOpen(b *testing.B) {
+// BenchmarkCountHandshakes counts the pending handshakes of a listener among 2,000 established
+// connections, each of which has two entries in the system's table.
+func BenchmarkCountHandshakes(b *testing.B) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(b, err)
 	defer func() { _ = listener.Close() }()
@@ -88,6 +89,6 @@
 		defer func() { _ = accepted.Close() }()
 	}
 	for b.Loop() {
-		handshakesOpen(listener.Addr())
+		countHandshakes(listener.Addr())
 	}
 }
--- a/internal/callers/gate_other.go
+++ b/internal/callers/gate_other.go
@@ -4,9 +4,9 @@
 
 import "net"
 
-// refuseHandshakes does nothing here: a connection may be reset that is made in
-// the moment of closing.
-func refuseHandshakes(uintptr) {}
+// dropNewHandshakes does nothing on this system: a connection established while
+// the listener is being closed may be reset.
+func dropNewHandshakes(uintptr) {}
 
-// handshakesOpen does not know here.
-func handshakesOpen(net.Addr) (open int, known bool) { return 0, false }
+// countHandshakes reports the count as unknown on this system.
+func countHandshakes(net.Addr) (pending int, known bool) { return 0, false }
--- a/internal/callers/openapi_test.go
+++ b/internal/callers/openapi_test.go
@@ -23,8 +23,8 @@
 
 var update = flag.Bool("update", false, "write "+openAPIFile+" from what the server serves")
 
-// served fetches a path from the handler alone; no router is behind it.
-func served(t *testing.T, path string) []byte {
+// fetchFromHandler returns the reply of a handler without a router.
+func fetchFromHandler(t *testing.T, path string) []byte {
 	t.Helper()
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
@@ -34,9 +34,9 @@
 	return recorder.Body.Bytes()
 }
 
-func TestOpenAPIFileIsWhatIsServed(t *testing.T) {
+func TestOpenAPIFileMatchesServedDocument(t *testing.T) {
 	var indented bytes.Buffer
-	require.NoError(t, json.Indent(&indented, served(t, "/openapi.json"), "", "  "))
+	require.NoError(t, json.Indent(&indented, fetchFromHandler(t, "/openapi.json"), "", "  "))
 	indented.WriteByte('\n')
 	if *update {
 		require.NoError(t, os.WriteFile(openAPIFile, indented.Bytes(), 0o644))
@@ -46,7 +46,7 @@
 	require.True(t, bytes.Equal(indented.Bytes(), file), "run go test ./internal/callers -run OpenAPI -update")
 }
 
-// Every reason that a caller can meet is explained to callers, with its status.
+// Every reason that callers can receive is documented with its HTTP status.
 func TestReasonsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile(pageFile)
 	require.NoError(t, err)
--- a/internal/callers/problem.go
+++ b/internal/callers/problem.go
@@ -14,18 +14,18 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// statusClientClosed is the customary status, outside the registered ones, of
-// a request whose client went away. Nobody reads it but the log.
+// statusClientClosed is the customary, unregistered status of a request whose
+// client closed the connection. It appears only in the log.
 const statusClientClosed = 499
 
-// Problem is an RFC 9457 problem document. The verdict says whether the
-// request may have run, and so whether it is safe to send it again.
+// Problem is an RFC 9457 problem document. The verdict states whether the
+// request may have run, and thus whether it is safe to resend.
 type Problem struct {
 	Type   string `json:"type" doc:"URI of the kind of problem"`
 	Title  string `json:"title" doc:"Summary of the kind of problem"`
 	Status int    `json:"status" doc:"HTTP status"`
 	Detail string `json:"detail,omitempty" doc:"What happened this time"`
-	// Request is the caller's id, or the one that was generated.
+	// Request is the caller's request id, or the generated one.
 	Request      string         `json:"request,omitempty" doc:"Request id"`
 	Verdict      string         `json:"verdict" enum:"not_run,ran,may_have_run" doc:"Whether the request may have run"`
 	Reason       verdict.Reason `json:"reason" doc:"Machine-readable cause"`
@@ -56,7 +56,7 @@
 // problemBase prefixes the reason to form a problem's type URI.
 const problemBase = "urn:martenstage:problem:"
 
-// titles and statuses of the reasons.
+// reasonStatus holds the HTTP status and title of each reason.
 var reasonStatus = map[verdict.Reason]struct {
 	status int
 	title  string
@@ -88,7 +88,7 @@
 	verdict.ReasonInternal:          {http.StatusInternalServerError, "Internal error"},
 }
 
-// newProblem describes a refusal or failure.
+// newProblem returns the problem document of a refusal or failure.
 func newProblem(failure *verdict.Error) *Problem {
 	kind, ok := reasonStatus[failure.Reason]
 	if !ok {
@@ -105,17 +105,17 @@
 	}
 }
 
-// problemOf describes an answer without parts.
-func problemOf(request string, answer query.Answer) *Problem {
+// newAnswerProblem returns the problem document of a failed query.
+func newAnswerProblem(request string, answer query.Answer) *Problem {
 	problem := newProblem(answer.Err)
 	problem.Request = request
-	problem.Missing = missingOf(answer)
+	problem.Missing = missingShards(answer)
 	return problem
 }
 
-// humaProblem makes huma's own refusals, such as a parameter that does not
-// parse, look like all others. They come before anything is sent.
-func humaProblem(status int, message string, causes ...error) huma.StatusError {
+// newHumaProblem converts huma's own errors, such as an invalid parameter, to
+// problem documents. They occur before anything is sent to a back end.
+func newHumaProblem(status int, message string, causes ...error) huma.StatusError {
 	reason := verdict.ReasonBadRequest
 	if status >= http.StatusInternalServerError {
 		reason = verdict.ReasonInternal
@@ -128,11 +128,11 @@
 	return newProblem(verdict.Refuse(reason, message))
 }
 
-// minRetryAfter is what callers are told to wait when nothing better is known.
+// minRetryAfter is the Retry-After of refusals that have no estimate.
 const minRetryAfter = 250 * time.Millisecond
 
-// retryAfter is the pause that a refusal names. Every refusal that another try
-// may overcome names one, at once, so that no caller has to guess.
+// retryAfter returns the pause that a refusal states. Every refusal that a
+// retry may overcome states one, so that callers needn't guess.
 func retryAfter(status int, known time.Duration) time.Duration {
 	temporary := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 	if temporary && known <= 0 {
@@ -141,7 +141,7 @@
 	return known
 }
 
-// write sends the problem.
+// write sends the problem as the reply.
 func (p *Problem) write(writer http.ResponseWriter) {
 	header := writer.Header()
 	header.Set("Content-Type", problemType)
@@ -161,7 +161,7 @@
 	return int64((duration + time.Millisecond - 1) / time.Millisecond)
 }
 
-// retryAfterSeconds rounds up, as the header has whole seconds only.
+// retryAfterSeconds rounds up, since the header has whole seconds only.
 func retryAfterSeconds(milliseconds int64) string {
 	const perSecond = 1000
 	return strconv.FormatInt(int64(math.Ceil(float64(milliseconds)/perSecond)), 10)
--- a/internal/callers/query.go
+++ b/internal/callers/query.go
@@ -20,13 +20,13 @@
 	"github.com/martenstage/martenstage/internal/verdict"
 )
 
-// HeaderRequest carries the caller's request id, in the request and its reply.
+// HeaderRequest carries the caller's request id in requests and replies.
 const HeaderRequest = "Martenstage-Request"
 
-// maxRequestID bounds a caller's request id, in bytes.
+// maxRequestID limits the length of a caller's request id, in bytes.
 const maxRequestID = 128
 
-// queryInput holds the parameters of a query. The handler reads the body.
+// queryInput holds the parameters of a query. The handler reads the body itself.
 type queryInput struct {
 	Route      string `path:"route" doc:"Name of the route"`
 	Request    string `header:"Martenstage-Request" doc:"Request id: 1 to 128 printable ASCII characters without spaces. Required on routes that run at most once, else generated."`
@@ -34,20 +34,20 @@
 	DeadlineMs string `query:"deadline_ms" doc:"Time to the answer in milliseconds, at most the policy's"`
 }
 
-func (a *api) registerQuery(described huma.API) {
-	schemas := described.OpenAPI().Components.Schemas
-	documents := func(description, contentType string, schema *huma.Schema) *huma.Response {
+func (a *api) registerQuery(humaAPI huma.API) {
+	schemas := humaAPI.OpenAPI().Components.Schemas
+	describeResponse := func(description, contentType string, schema *huma.Schema) *huma.Response {
 		return &huma.Response{Description: description,
 			Content: map[string]*huma.MediaType{contentType: {Schema: schema}}}
 	}
-	huma.Register(described, huma.Operation{
+	huma.Register(humaAPI, huma.Operation{
 		OperationID: "query",
 		Method:      http.MethodPost,
 		Path:        queryPath,
 		Summary:     "Send a query to a route",
 		Responses: map[string]*huma.Response{
-			"200":     documents("Answer", "application/json", schemas.Schema(typeOf[Answer](), true, "")),
-			"default": documents("Problem", problemType, schemas.Schema(typeOf[Problem](), true, "")),
+			"200":     describeResponse("Answer", "application/json", schemas.Schema(typeOf[Answer](), true, "")),
+			"default": describeResponse("Problem", problemType, schemas.Schema(typeOf[Problem](), true, "")),
 		},
 	}, func(_ context.Context, input *queryInput) (*huma.StreamResponse, error) {
 		return &huma.StreamResponse{Body: func(humaContext huma.Context) {
@@ -55,15 +55,15 @@
 			a.serveQuery(writer, request, input)
 		}}, nil
 	})
-	describeBody(described.OpenAPI().Paths[queryPath])
+	describeRequestBody(humaAPI.OpenAPI().Paths[queryPath])
 }
 
 const queryPath = "/v1/routes/{route}/query"
 
-// describeBody adds the body to the document only: huma would read the body
-// of an operation that declares one, into a buffer that it uses again while
-// attempts may still read it.
-func describeBody(path *huma.PathItem) {
+// describeRequestBody adds the body to the OpenAPI document only. If the
+// operation declared it, huma would read the body into a pooled buffer, which it
+// reuses while attempts may still read it.
+func describeRequestBody(path *huma.PathItem) {
 	operation := *path.Post
 	operation.RequestBody = &huma.RequestBody{
 		Description: "Any JSON document; it is passed to the back ends as it is",
@@ -77,81 +77,82 @@
 func (a *api) serveQuery(writer http.ResponseWriter, httpRequest *http.Request, input *queryInput) {
 	started := a.now()
 	if ready, reason := a.router.Ready(); !ready && reason == verdict.ReasonStopping {
-		// The caller's next request is to go to another router.
+		// Make the caller send its next request to another router.
 		writer.Header().Set("Connection", "close")
 	}
-	request, refused := a.readQuery(writer, httpRequest, input, started)
-	if refused != nil {
-		problem := newProblem(refused)
-		problem.Request = shortened(request.CallerID)
+	request, refusal := a.readQuery(writer, httpRequest, input, started)
+	if refusal != nil {
+		problem := newProblem(refusal)
+		problem.Request = truncate(request.CallerID)
 		problem.write(writer)
 		return
 	}
 	writer.Header().Set(HeaderRequest, request.CallerID)
 	answer := a.router.Query(httpRequest.Context(), request)
 	if answer.Err != nil {
-		problemOf(request.CallerID, answer).write(writer)
+		newAnswerProblem(request.CallerID, answer).write(writer)
 		return
 	}
-	head := headOf(request, answer, a.now().Sub(started))
+	head := newAnswerHead(request, answer, a.now().Sub(started))
 	if err := writeAnswer(writer, head, answer.Items); err != nil {
 		a.logger.WithError(err).WithField("request", request.CallerID).Debug("answer not delivered")
 	}
 }
 
-// readQuery checks a query. A refusal says that nothing was sent.
+// readQuery reads and validates a query. A refusal means that nothing was sent
+// to a back end.
 func (a *api) readQuery(writer http.ResponseWriter, httpRequest *http.Request, input *queryInput,
 	now time.Time) (router.Request, *verdict.Error) {
 	request := router.Request{CallerID: input.Request, Route: input.Route, Key: input.Key}
-	needs, refused := a.needsOf(input.Route)
-	if refused != nil {
-		return request, refused
+	requirements, refusal := a.requirementsOf(input.Route)
+	if refusal != nil {
+		return request, refusal
 	}
-	if refused := checkIdentity(&request, needs); refused != nil {
-		return request, refused
+	if refusal := checkIDAndKey(&request, requirements); refusal != nil {
+		return request, refusal
 	}
-	deadline, refused := readDeadline(input.DeadlineMs, now)
-	if refused != nil {
-		return request, refused
+	deadline, refusal := readDeadline(input.DeadlineMs, now)
+	if refusal != nil {
+		return request, refusal
 	}
 	request.Deadline = deadline
 	if httpRequest.Body != http.NoBody {
-		boundBody(writer, now, deadline)
+		setBodyDeadline(writer, now, deadline)
 	}
-	request.Body, refused = a.readBody(writer, httpRequest)
-	if refused == nil && httpRequest.Body != http.NoBody {
-		unboundBody(writer)
+	request.Body, refusal = a.readBody(writer, httpRequest)
+	if refusal == nil && httpRequest.Body != http.NoBody {
+		clearBodyDeadline(writer)
 	}
-	// The bound stays on a body that was refused: net/http reads the rest of it.
-	return request, refused
+	// The deadline stays if the body was refused: net/http reads the rest of it.
+	return request, refusal
 }
 
-// routeNeeds is what a route needs of its callers.
-type routeNeeds struct{ id, key bool }
+// routeRequirements states which parameters a route requires of its callers.
+type routeRequirements struct{ id, key bool }
 
-// needsOf looks a route up. Of one that another region owns, that region knows
-// the needs and checks them.
-func (a *api) needsOf(name string) (routeNeeds, *verdict.Error) {
-	if route, own := a.router.RouteNamed(name); own {
-		return routeNeeds{id: route.Policy.Once, key: route.Target == plan.TargetKey}, nil
+// requirementsOf looks up a route's requirements. For a route of another region
+// they are empty: that region knows and checks them.
+func (a *api) requirementsOf(name string) (routeRequirements, *verdict.Error) {
+	if route, local := a.router.RouteNamed(name); local {
+		return routeRequirements{id: route.Policy.Once, key: route.Target == plan.TargetKey}, nil
 	}
 	if _, remote := a.router.RemoteRouteNamed(name); remote {
-		return routeNeeds{}, nil
+		return routeRequirements{}, nil
 	}
 	if ready, reason := a.router.Ready(); !ready && reason == verdict.ReasonNoLease {
-		return routeNeeds{}, verdict.Refuse(verdict.ReasonNoLease, "no configuration in force")
+		return routeRequirements{}, verdict.Refuse(verdict.ReasonNoLease, "no configuration in force")
 	}
-	return routeNeeds{}, verdict.Refuse(verdict.ReasonUnknownRoute, "no route "+strconv.Quote(shortened(name)))
+	return routeRequirements{}, verdict.Refuse(verdict.ReasonUnknownRoute, "no route "+strconv.Quote(truncate(name)))
 }
 
-// checkIdentity checks request id and key, and generates a missing id.
-func checkIdentity(request *router.Request, needs routeNeeds) *verdict.Error {
+// checkIDAndKey validates request id and key, and generates a missing id.
+func checkIDAndKey(request *router.Request, requirements routeRequirements) *verdict.Error {
 	switch {
-	case request.CallerID == "" && needs.id:
+	case request.CallerID == "" && requirements.id:
 		return verdict.Refuse(verdict.ReasonBadRequest, "route "+request.Route+" runs at most once and needs the header "+HeaderRequest)
 	case !printable(request.CallerID):
 		return verdict.Refuse(verdict.ReasonBadRequest, HeaderRequest+" must be 1 to 128 printable ASCII characters without spaces")
-	case request.Key == "" && needs.key:
+	case request.Key == "" && requirements.key:
 		return verdict.Refuse(verdict.ReasonBadRequest, "route "+request.Route+" needs the parameter key")
 	case request.CallerID == "":
 		request.CallerID, request.IDGenerated = rand.Text(), true
@@ -159,8 +160,8 @@
 	return nil
 }
 
-// shortened bounds what a refusal repeats of the caller's own words.
-func shortened(text string) string {
+// truncate limits the length of caller input that a refusal repeats.
+func truncate(text string) string {
 	if len(text) <= maxRequestID {
 		return text
 	}
@@ -179,7 +180,7 @@
 	return true
 }
 
-// readDeadline reads the caller's time limit; without one the result is zero.
+// readDeadline parses the caller's time limit; without one the result is zero.
 func readDeadline(text string, now time.Time) (time.Time, *verdict.Error) {
 	if text == "" {
 		return time.Time{}, nil
@@ -196,13 +197,13 @@
 	return now.Add(time.Duration(milliseconds) * time.Millisecond), nil
 }
 
-// readBody reads a bounded JSON document. A body that announces too great a
-// length is refused before any of it is read.
+// readBody reads a JSON document of at most MaxBody bytes. A body whose
+// Content-Length is greater is refused before any of it is read.
 func (a *api) readBody(writer http.ResponseWriter, request *http.Request) ([]byte, *verdict.Error) {
 	tooLarge := verdict.Refuse(verdict.ReasonBodyTooLarge,
 		"the body is longer than "+strconv.FormatInt(a.config.MaxBody, 10)+" bytes")
 	if request.ContentLength > a.config.MaxBody {
-		// Reading the rest of it only to keep the connection is not worth it.
+		// Reading the rest only to keep the connection open costs too much.
 		writer.Header().Set("Connection", "close")
 		return nil, tooLarge
 	}
--- a/internal/callers/reset_test.go
+++ b/internal/callers/reset_test.go
@@ -16,9 +16,9 @@
 	"github.com/martenstage/martenstage/internal/proof/testlink"
 )
 
-// executionsByRequest ends the back ends and counts the executions of every
+// executionsByRequest stops the back ends and counts the executions of each
 // request id.
-func (s *site) executionsByRequest() map[string]int {
+func (s *testRouter) executionsByRequest() map[string]int {
 	s.closeFleet()
 	counts := map[string]int{}
 	for _, execution := range s.record.Executions() {
@@ -29,12 +29,12 @@
 	return counts
 }
 
-// A request that runs at most once meets a reset at every byte of its query and
-// of its reply between router and back end, and is sent again by its caller each
-// time. The back ends' record decides.
-func TestResetsTowardsBackEndsRunNothingTwice(t *testing.T) {
+// Resets the connection between router and back end at every byte of the query
+// and of the reply of an at-most-once request. The caller resends the request
+// each time; the back ends' record must not show two executions.
+func TestBackEndResetsNeverRunARequestTwice(t *testing.T) {
 	const bytes = 400 // a little more than the query, and than the reply's head
-	s := newSite(t, time.Millisecond, StopConfig{Limit: time.Minute})
+	s := newTestRouter(t, time.Millisecond, StopConfig{Limit: time.Minute})
 	verdicts := map[string]string{}
 	for _, kind := range []emulator.FaultKind{emulator.FaultResetRequest, emulator.FaultResetReply} {
 		for position := range bytes {
@@ -57,18 +57,18 @@
 			require.Equal(t, 1, executions[id], id)
 		}
 	}
-	// Doubtful ones must have been met at every position, not refused early.
-	doubtful := lo.CountBy(lo.Values(verdicts), func(first string) bool { return first == "may_have_run" })
-	t.Logf("%d of %d requests were in doubt", doubtful, len(verdicts))
-	require.Greater(t, doubtful, bytes)
+	// The resets must have reached the query, not caused an early refusal.
+	uncertain := lo.CountBy(lo.Values(verdicts), func(first string) bool { return first == "may_have_run" })
+	t.Logf("%d of %d requests may have run", uncertain, len(verdicts))
+	require.Greater(t, uncertain, bytes)
 	require.Zero(t, executions["reset_request-1"], "the query was cut before it ran")
 }
 
-// A caller's own connection is reset after every byte of its request. Nothing
-// runs unless the router had the whole of it, and then once, however often
-// the caller sends it again.
-func TestResetsOfTheCallerRunNothingTwice(t *testing.T) {
-	s := newSite(t, time.Millisecond, StopConfig{Limit: time.Minute})
+// Resets the caller's connection after every byte of its request. The request
+// must run only if the router received all of it, and then only once, even if
+// the caller resends it.
+func TestCallerResetsNeverRunARequestTwice(t *testing.T) {
+	s := newTestRouter(t, time.Millisecond, StopConfig{Limit: time.Minute})
 	const body = `{"to":"host"}`
 	textOf := func(id string) string {
 		return "POST /v1/routes/send/query?key=k HTTP/1.1\r\nHost: " + s.address + "\r\n" + HeaderRequest + ": " + id +
@@ -93,31 +93,31 @@
 	require.LessOrEqual(t, executions[idOf(length)], 1)
 }
 
-// The reply of the router is cut after every byte of it, by a reset, and its
-// caller, who can't know what became of the request, sends it again. It is told
-// that it ran, and the back ends' record has it once.
-func TestCutRepliesToTheCallerRunNothingTwice(t *testing.T) {
-	s := newSite(t, time.Millisecond, StopConfig{Limit: time.Minute})
+// Resets the connection after every byte of the router's reply. The caller can't
+// know the outcome and resends the request. The reply must state that it ran,
+// and the back ends' record must show one execution.
+func TestTruncatedRepliesNeverRunARequestTwice(t *testing.T) {
+	s := newTestRouter(t, time.Millisecond, StopConfig{Limit: time.Minute})
 	link := testlink.New(t, s.address)
 	const body = `{"to":"host"}`
-	ask := func(id string) string {
+	sendQuery := func(id string) string {
 		socket, err := net.Dial("tcp4", link.Address().String())
 		require.NoError(t, err)
 		defer socket.Close()
 		_, err = io.WriteString(socket, "POST /v1/routes/send/query?key=k HTTP/1.1\r\nHost: "+s.address+"\r\n"+HeaderRequest+": "+id+
 			"\r\nConnection: close\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 		require.NoError(t, err)
-		reply, _ := io.ReadAll(socket) // a reset is what the test is about
+		reply, _ := io.ReadAll(socket) // the error is the expected reset
 		return string(reply)
 	}
-	whole := ask("whole")
-	require.Contains(t, whole, "200 OK")
+	complete := sendQuery("whole")
+	require.Contains(t, complete, "200 OK")
 	ids := []string{"whole"}
-	for cut := range len(whole) {
+	for cut := range len(complete) {
 		id := fmt.Sprintf("cut-%04d", cut)
 		ids = append(ids, id)
 		link.LimitReplies(int64(cut))
-		require.LessOrEqual(t, len(ask(id)), cut)
+		require.LessOrEqual(t, len(sendQuery(id)), cut)
 	}
 	for _, id := range ids {
 		status, again := s.post("/v1/routes/send/query?key=k", id, body)
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -14,40 +14,40 @@
 	"github.com/martenstage/martenstage/internal/wait"
 )
 
-// typeOf names a type for the schema registry.
+// typeOf returns the reflect.Type of T, for the schema registry.
 func typeOf[T any]() reflect.Type { return reflect.TypeFor[T]() }
 
-// StopConfig sets the pace of a planned stop.
+// StopConfig sets the durations of a planned stop.
 type StopConfig struct {
-	// Notice is how long the router serves on after it reported not ready, so
-	// that callers move away.
+	// Notice is how long the router continues to serve after reporting not
+	// ready, so that callers switch to other routers.
 	Notice time.Duration
-	// Quiet is how long no request may have come before the listener closes.
+	// Quiet is how long no query must have arrived before the listener closes.
 	Quiet time.Duration
-	// QuietLimit bounds the wait for a quiet moment.
+	// QuietLimit limits the wait for such a period.
 	QuietLimit time.Duration
-	// Limit bounds the whole stop.
+	// Limit limits the entire stop.
 	Limit time.Duration
 }
 
-// Server serves the callers' API until it is stopped as planned.
+// Server serves the callers' API until a planned stop.
 type Server struct {
 	http   *http.Server
 	router Router
 	config StopConfig
 	logger logrus.FieldLogger
-	// connections are those of the callers.
-	connections *connections
-	// lastQuery is the arrival of the newest query, in Unix nanoseconds. Those
-	// who poll readiness must not hold up the stop.
+	// connections tracks the callers' connections.
+	connections *connectionTracker
+	// lastQuery is the arrival time of the latest query, in Unix nanoseconds.
+	// Readiness polls don't count, so that they don't delay the stop.
 	lastQuery atomic.Int64
 }
 
 const readHeaderTimeout = 10 * time.Second
 
 // NewServer returns a server for a handler of NewHandler.
-func NewServer(config StopConfig, handler http.Handler, served Router, logger logrus.FieldLogger) *Server {
-	server := &Server{router: served, config: config, logger: logger, connections: newConnections()}
+func NewServer(config StopConfig, handler http.Handler, queryRouter Router, logger logrus.FieldLogger) *Server {
+	server := &Server{router: queryRouter, config: config, logger: logger, connections: newConnectionTracker()}
 	server.http = &http.Server{
 		ReadHeaderTimeout: readHeaderTimeout,
 		ConnState:         server.connections.observe,
@@ -61,52 +61,52 @@
 	return server
 }
 
-// Run serves until the context ends, then stops as planned: not ready at once,
-// serving through the notice time, then refusing new requests while those in
-// flight finish. It returns nil when nothing was cut off.
+// Run serves until the context is done, then performs a planned stop: it reports
+// not ready immediately, serves for the notice time, then refuses new requests
+// while those in flight finish. It returns nil if no request was cut off.
 func (s *Server) Run(ctx context.Context, listener net.Listener) error {
-	raw, ok := listener.(rawListener)
+	tcp, ok := listener.(tcpListener)
 	if !ok {
 		return errors.Newf("callers' API: %T is not a TCP listener", listener)
 	}
-	entrance := newGate(raw)
+	callerListener := newDrainableListener(tcp)
 	served := make(chan error, 1)
-	go func() { served <- s.http.Serve(entrance) }()
+	go func() { served <- s.http.Serve(callerListener) }()
 	select {
 	case err := <-served:
 		return errors.Wrap(err, "callers' API")
 	case <-ctx.Done():
 	}
-	err := s.stop(entrance)
+	err := s.stop(callerListener)
 	if err != nil {
-		// The limit has passed: what is left is cut off, and the error says so.
+		// The limit has passed: remaining requests are cut off.
 		err = errors.CombineErrors(err, s.http.Close())
 	}
 	<-served
 	return err
 }
 
-func (s *Server) stop(entrance *gate) error {
-	bounded, cancel := context.WithTimeout(context.Background(), s.config.Limit)
+func (s *Server) stop(listener *drainableListener) error {
+	ctx, cancel := context.WithTimeout(context.Background(), s.config.Limit)
 	defer cancel()
 	s.router.BeginStop()
 	s.logger.WithField("notice", s.config.Notice).Info("planned stop: not ready, serving on")
-	wait.For(bounded, s.config.Notice)
+	wait.For(ctx, s.config.Notice)
 	s.logger.Info("planned stop: refusing new requests")
-	if err := s.router.Stop(bounded); err != nil {
+	if err := s.router.Stop(ctx); err != nil {
 		return errors.Wrap(err, "planned stop: requests were still in flight")
 	}
-	s.awaitQuiet(bounded)
-	entrance.drain(bounded)
-	s.connections.awaitIdle(bounded)
-	// Only connections without a request are closed here.
-	err := s.http.Shutdown(bounded)
+	s.awaitQuiet(ctx)
+	listener.drain(ctx)
+	s.connections.awaitIdle(ctx)
+	// At this point only connections without a request remain.
+	err := s.http.Shutdown(ctx)
 	s.logger.Info("planned stop: done")
 	return errors.Wrap(err, "planned stop")
 }
 
-// awaitQuiet keeps answering refusals until no query has come for a while,
-// so that closing idle connections meets no request on its way.
+// awaitQuiet waits, while queries are still refused, until none has arrived for
+// the quiet period, so that closing idle connections drops no request in transit.
 func (s *Server) awaitQuiet(ctx context.Context) {
 	const step = 10 * time.Millisecond
 	limit := time.Now().Add(s.config.QuietLimit)
--- a/internal/callers/slow.go
+++ b/internal/callers/slow.go
@@ -7,62 +7,62 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// Bounds for callers that stall. A stalled caller holds a connection and a
-// goroutine, and a planned stop would wait for it up to its limit.
+// Time limits for stalled callers. A stalled caller holds a connection and a
+// goroutine, and a planned stop would wait for it up to the stop's limit.
 const (
-	// bodyLimit is how long a body may take when the caller named no deadline.
-	bodyLimit = 10 * time.Second
-	// leastBodyLimit is given to every body, so that one which came along with
-	// the headers is read whatever the deadline.
-	leastBodyLimit = 100 * time.Millisecond
-	// writeLimit is how long a caller may take to accept the next writeStep
-	// bytes of a reply.
-	writeLimit = 10 * time.Second
-	writeStep  = 64 << 10
+	// bodyTimeout limits reading a body if the caller set no deadline.
+	bodyTimeout = 10 * time.Second
+	// minBodyTimeout applies to every body, so that one that arrived with the
+	// headers is read regardless of the deadline.
+	minBodyTimeout = 100 * time.Millisecond
+	// writeTimeout limits how long a caller may take to receive the next
+	// writeChunk bytes of a reply.
+	writeTimeout = 10 * time.Second
+	writeChunk   = 64 << 10
 )
 
-// boundBody makes reading the body end at the deadline of the request, or
-// after bodyLimit. Writers without a connection, as in tests, have no bound.
-func boundBody(writer http.ResponseWriter, now, deadline time.Time) {
-	limit := now.Add(bodyLimit)
-	if !deadline.IsZero() && deadline.Before(limit) {
-		limit = deadline
+// setBodyDeadline limits reading the body to the deadline of the request, or to
+// bodyTimeout. Writers without a connection, as in tests, have no limit.
+func setBodyDeadline(writer http.ResponseWriter, now, deadline time.Time) {
+	deadlineLimit := now.Add(bodyTimeout)
+	if !deadline.IsZero() && deadline.Before(deadlineLimit) {
+		deadlineLimit = deadline
 	}
-	if least := steadyclock.Now().Add(leastBodyLimit); limit.Before(least) {
-		limit = least
+	if minLimit := steadyclock.Now().Add(minBodyTimeout); deadlineLimit.Before(minLimit) {
+		deadlineLimit = minLimit
 	}
-	_ = http.NewResponseController(writer).SetReadDeadline(steadyclock.Runtime(limit))
+	_ = http.NewResponseController(writer).SetReadDeadline(steadyclock.Runtime(deadlineLimit))
 }
 
-// unboundBody lets the server go on watching the connection, by which it sees
-// that a caller goes away.
-func unboundBody(writer http.ResponseWriter) {
+// clearBodyDeadline removes the read deadline, so that the server can continue
+// to watch the connection and notice when the caller closes it.
+func clearBodyDeadline(writer http.ResponseWriter) {
 	_ = http.NewResponseController(writer).SetReadDeadline(time.Time{})
 }
 
-// boundWrites gives the end of each reply, which net/http sends after the
-// handler has returned, a time limit of its own. The limit of the reply before
-// on the same connection must not hold for a handler that takes long.
-func boundWrites(handler http.Handler) http.Handler {
+// limitWrites sets a separate write deadline for the end of each reply, which
+// net/http sends after the handler has returned. It first clears the deadline of
+// the previous reply on the connection, which a slow handler could exceed.
+func limitWrites(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		controller := http.NewResponseController(writer)
 		_ = controller.SetWriteDeadline(time.Time{})
 		handler.ServeHTTP(writer, request)
-		_ = controller.SetWriteDeadline(time.Now().Add(writeLimit))
+		_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 	})
 }
 
-// writeSteadily sends a document to a caller who may be slow, but must not
-// stand still.
-func writeSteadily(writer http.ResponseWriter, document []byte) error {
+// writeInChunks sends a document with a time limit for each chunk: a caller may
+// read slowly, but must not stall.
+func writeInChunks(writer http.ResponseWriter, document []byte) error {
 	controller := http.NewResponseController(writer)
 	for len(document) > 0 {
-		step := min(len(document), writeStep)
-		_ = controller.SetWriteDeadline(time.Now().Add(writeLimit))
-		if _, err := writer.Write(document[:step]); err != nil {
+		size := min(len(document), writeChunk)
+		_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout))
+		if _, err := writer.Write(document[:size]); err != nil {
 			return err
 		}
-		document = document[step:]
+		document = document[size:]
 	}
 	return nil
 }
--- a/internal/callers/slow_test.go
+++ b/internal/callers/slow_test.go
@@ -12,10 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A caller who never sends the rest of the body gets the final answer at its
-// own deadline.
+// A caller that never sends the rest of the body is refused at its own deadline.
 func TestBodyThatStallsIsRefusedAtTheDeadline(t *testing.T) {
-	s := newSite(t, time.Millisecond, StopConfig{Limit: time.Minute})
+	s := newTestRouter(t, time.Millisecond, StopConfig{Limit: time.Minute})
 	caller, err := net.Dial("tcp4", s.address)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = caller.Close() })
@@ -34,14 +33,14 @@
 	require.Zero(t, s.executions("stalled"))
 }
 
-// A planned stop does not wait up to its limit for a caller who stalls.
-func TestPlannedStopOutlastsStalledCaller(t *testing.T) {
-	s := newSite(t, time.Millisecond, StopConfig{Limit: time.Minute})
+// A planned stop must not wait up to its limit for a stalled caller.
+func TestPlannedStopDoesNotWaitForStalledCaller(t *testing.T) {
+	s := newTestRouter(t, time.Millisecond, StopConfig{Limit: time.Minute})
 	caller, err := net.Dial("tcp4", s.address)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = caller.Close() })
 	_, err = fmt.Fprint(caller, "POST /v1/routes/find/query?deadline_ms=300 HTTP/1.1\r\nHost: router\r\nContent-Length: 10\r\n\r\n{")
 	require.NoError(t, err)
 	s.stop()
-	require.NoError(t, <-s.ended)
+	require.NoError(t, <-s.stopResult)
 }
--- a/internal/callers/write_limit_test.go
+++ b/internal/callers/write_limit_test.go
@@ -14,15 +14,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// oneConnection is a listener whose only connection is one end of a pipe. A
-// pipe has no buffers, so that a write waits for the reader, and its time
-// limits run on the virtual clock.
-type oneConnection struct {
+// pipeListener is a listener whose only connection is one end of a pipe. A pipe
+// is unbuffered, so a write waits for the reader, and its deadlines use the
+// virtual clock.
+type pipeListener struct {
 	connections chan net.Conn
 	closed      chan struct{}
 }
 
-func (l *oneConnection) Accept() (net.Conn, error) {
+func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case connection := <-l.connections:
 		return connection, nil
@@ -30,17 +30,17 @@
 		return nil, net.ErrClosed
 	}
 }
-func (l *oneConnection) Close() error   { close(l.closed); return nil }
-func (l *oneConnection) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *pipeListener) Close() error   { close(l.closed); return nil }
+func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// replyOver serves a document over a pipe. It returns the caller's end, on
-// which the request was sent, and the outcome of writing the document.
-func replyOver(t *testing.T, document []byte) (net.Conn, <-chan error) {
+// serveOverPipe serves a document over a pipe. It returns the caller's end, on
+// which the request was sent, and the result of writing the document.
+func serveOverPipe(t *testing.T, document []byte) (net.Conn, <-chan error) {
 	t.Helper()
 	outcome := make(chan error, 1)
-	listener := &oneConnection{connections: make(chan net.Conn, 1), closed: make(chan struct{})}
-	server := &http.Server{Handler: boundWrites(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
-		outcome <- writeSteadily(writer, document)
+	listener := &pipeListener{connections: make(chan net.Conn, 1), closed: make(chan struct{})}
+	server := &http.Server{Handler: limitWrites(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+		outcome <- writeInChunks(writer, document)
 	}))}
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(listener) }()
@@ -56,39 +56,38 @@
 	return caller, outcome
 }
 
-// A caller who reads slowly, but never stands still for the time limit, gets
-// the whole reply, however long that takes in all.
-func TestSlowCallerGetsTheWholeReply(t *testing.T) {
+// A caller that reads slowly, but never stalls for the write timeout, receives
+// the complete reply, regardless of the total time.
+func TestSlowCallerReceivesTheCompleteReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		document := bytes.Repeat([]byte("0123456789abcdef"), 4*writeStep/16)
-		caller, outcome := replyOver(t, document)
-		began := time.Now()
+		document := bytes.Repeat([]byte("0123456789abcdef"), 4*writeChunk/16)
+		caller, outcome := serveOverPipe(t, document)
+		started := time.Now()
 		response, err := http.ReadResponse(bufio.NewReader(caller), nil)
 		require.NoError(t, err)
 		received := make([]byte, len(document))
-		for offset := 0; offset < len(received); offset += writeStep {
-			time.Sleep(writeLimit - time.Second)
-			_, err = io.ReadFull(response.Body, received[offset:offset+writeStep])
+		for offset := 0; offset < len(received); offset += writeChunk {
+			time.Sleep(writeTimeout - time.Second)
+			_, err = io.ReadFull(response.Body, received[offset:offset+writeChunk])
 			require.NoError(t, err)
 		}
 		require.NoError(t, <-outcome)
 		require.Equal(t, document, received)
-		require.Greater(t, time.Since(began), 3*writeLimit)
+		require.Greater(t, time.Since(started), 3*writeTimeout)
 	})
 }
 
-// A caller who stops reading holds the connection for the time limit and no
-// longer.
+// A caller that stops reading holds the connection only for the write timeout.
 func TestCallerWhoStopsReadingIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		caller, outcome := replyOver(t, make([]byte, 4*writeStep))
+		caller, outcome := serveOverPipe(t, make([]byte, 4*writeChunk))
 		response, err := http.ReadResponse(bufio.NewReader(caller), nil)
 		require.NoError(t, err)
-		_, err = io.ReadFull(response.Body, make([]byte, writeStep/2))
+		_, err = io.ReadFull(response.Body, make([]byte, writeChunk/2))
 		require.NoError(t, err)
-		began := time.Now()
+		started := time.Now()
 		require.ErrorIs(t, <-outcome, os.ErrDeadlineExceeded)
-		require.LessOrEqual(t, time.Since(began), writeLimit)
-		require.Greater(t, time.Since(began), writeLimit/2)
+		require.LessOrEqual(t, time.Since(started), writeTimeout)
+		require.Greater(t, time.Since(started), writeTimeout/2)
 	})
 }
