--- a/internal/backendapi/backendapi.go
+++ b/internal/backendapi/backendapi.go
@@ -1,6 +1,6 @@
-// Package backendapi is the contract between routers and back ends over plain
-// HTTP: paths, header names, documents and the digest rules. Routers and the
-// back-end emulator share it; docs/BACKENDS.md describes it for implementers.
+// Package backendapi defines the plain HTTP contract between routers and back
+// ends: paths, header names, JSON documents and digests. Routers and the
+// back-end emulator share it; docs/BACKENDS.md documents it for implementers.
 package backendapi
 
 import (
@@ -42,12 +42,12 @@
 	HeaderVerdict       = "Martenstage-Verdict"        // not_run on refusals
 	HeaderReason        = "Martenstage-Reason"         // RefusalReason on refusals
 	HeaderRetryAfter    = "Martenstage-Retry-After-Ms" // milliseconds
-	HeaderDraining      = "Martenstage-Draining"       // "1" once the server is leaving
+	HeaderDraining      = "Martenstage-Draining"       // "1" once the server is draining
 	HeaderLoad          = "Martenstage-Load"           // "in_flight/slots/queued"
-	HeaderHoldings      = "Martenstage-Holdings"       // as Health.Holdings
+	HeaderHoldings      = "Martenstage-Holdings"       // same value as Health.Holdings
 )
 
-// RefusalReason says why a back end did not run a query.
+// RefusalReason is the reason why a back end did not run a query.
 type RefusalReason string
 
 // Refusal reasons. A refusal has HTTP status 503 (or 429 for overload) and
@@ -60,13 +60,13 @@
 	RefusalDeadline       RefusalReason = "deadline"
 	RefusalCanceled       RefusalReason = "canceled"
 	RefusalWarming        RefusalReason = "warming"
-	// A request that breaks the contract has status 400 or 413.
+	// Requests that violate the contract are refused with status 400 or 413.
 	RefusalBadRequest   RefusalReason = "bad_request"
 	RefusalBodyTooLarge RefusalReason = "body_too_large"
 )
 
-// Reason is how the refusal of an attempt is told to callers. One that callers
-// can't act on counts as overload.
+// Reason returns the reason that callers receive for a refused attempt. Refusals
+// that callers can't act on are reported as overload.
 func (r RefusalReason) Reason() verdict.Reason {
 	switch r {
 	case RefusalDraining:
@@ -87,24 +87,25 @@
 // ReadyState is the state that a back end's health endpoint reports.
 type ReadyState string
 
-// Ready states.
+// Values of ReadyState.
 const (
 	StateReady    ReadyState = "ready"
 	StateWarming  ReadyState = "warming"
 	StateDraining ReadyState = "draining"
 )
 
-// Health is the document at PathHealth. It may lag or mislead.
+// Health is the document at PathHealth. It may be outdated or wrong.
 type Health struct {
 	State  ReadyState   `json:"state"`
 	Load   Load         `json:"load"`
 	Shards []ShardState `json:"shards"`
-	// Holdings is an opaque mark that changes whenever Shards does. A back end
-	// that sends it with every reply needs fewer probes; it may be empty.
+	// Holdings is an opaque fingerprint that changes whenever Shards does. A back
+	// end that sends it with every reply needs fewer probes; it may be empty.
 	Holdings string `json:"holdings,omitempty"`
 }
 
-// HoldingsMark returns a mark for Health.Holdings that back ends in Go may use.
+// HoldingsMark computes a fingerprint of the shards that back ends written in Go
+// may use as Health.Holdings.
 func HoldingsMark(shards []ShardState) string {
 	const hexadecimal = 16
 	var text []byte
@@ -120,7 +121,8 @@
 	return strconv.FormatUint(xxhash.Sum64(text), hexadecimal)
 }
 
-// Load is a back end's own report of its work.
+// Load is the load that a back end reports: running queries, slots to run them
+// and queued queries.
 type Load struct {
 	InFlight int `json:"in_flight"`
 	Slots    int `json:"slots"`
@@ -136,12 +138,12 @@
 }
 
 // Part is the reply body of a query: the items of one shard. Items are JSON
-// objects; the router reads only the field that a merge sorts by.
+// objects, of which the router reads only the field that a merge sorts by.
 type Part struct {
 	Items []json.RawMessage `json:"items"`
 }
 
-// CancelRequest names the attempt that is no longer wanted.
+// CancelRequest identifies the attempt to cancel.
 type CancelRequest struct {
 	Request string `json:"request"`
 	Attempt string `json:"attempt"`
--- a/internal/backendapi/openapi_test.go
+++ b/internal/backendapi/openapi_test.go
@@ -19,8 +19,8 @@
 	pageFile    = "../../docs/BACKENDS.md"
 )
 
-// constants returns the text constants of the package by name.
-func constants(t *testing.T) map[string]string {
+// stringConstants returns the values of the package's string constants by name.
+func stringConstants(t *testing.T) map[string]string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), "backendapi.go", nil, 0)
 	require.NoError(t, err)
@@ -40,31 +40,31 @@
 	return found
 }
 
-// scalars collects every key and value of a document.
-func scalars(node *yaml.Node, into map[string]bool) {
+// collectScalars collects all scalar keys and values of a YAML document.
+func collectScalars(node *yaml.Node, into map[string]bool) {
 	if node.Kind == yaml.ScalarNode {
 		into[node.Value] = true
 	}
 	for _, child := range node.Content {
-		scalars(child, into)
+		collectScalars(child, into)
 	}
 }
 
-// TestContractIsDocumented holds the OpenAPI document and the page against the
-// constants: a path, header, reason or state that is in one and not in the
-// others fails.
+// TestContractIsDocumented compares the constants with the OpenAPI document and
+// the documentation page. Every constant must be in both, and every path and
+// header of the OpenAPI document must be a constant.
 func TestContractIsDocumented(t *testing.T) {
 	text, err := os.ReadFile(openAPIFile)
 	require.NoError(t, err)
 	var document yaml.Node
 	require.NoError(t, yaml.Unmarshal(text, &document))
 	inDocument := map[string]bool{}
-	scalars(&document, inDocument)
+	collectScalars(&document, inDocument)
 	page, err := os.ReadFile(pageFile)
 	require.NoError(t, err)
 
 	var known []string
-	for name, value := range constants(t) {
+	for name, value := range stringConstants(t) {
 		known = append(known, value)
 		require.True(t, inDocument[value], "%s (%s) is not in %s", name, value, openAPIFile)
 		short := strings.TrimPrefix(value, "Martenstage")
