--- a/internal/rpc/doc.go
+++ b/internal/rpc/doc.go
@@ -1,9 +1,9 @@
 // Package rpc carries connect-go services between the system's own processes:
-// HTTP/2 over TLS 1.3 where both sides prove who they are, or over plaintext
-// when the settings say so explicitly.
+// HTTP/2 over TLS 1.3 with mutual authentication, or over plaintext if the
+// settings enable it explicitly.
 //
-// Keys come from a keys.Reloader and are looked up at every handshake, so new
-// ones are used without dropping connections. Which role may call a service is
-// stated where the service is mounted (RequireRole); which role a server must
-// have is stated where it is dialed (ClientConfig.ServerRoles).
+// Keys come from a keys.Reloader and are read at every handshake, so they can be
+// replaced without dropping connections. The roles that may call a service are
+// set where it is mounted (RequireRole), the roles that a server may have where
+// it is dialed (ClientConfig.ServerRoles).
 package rpc
--- a/internal/rpc/reload_test.go
+++ b/internal/rpc/reload_test.go
@@ -18,14 +18,14 @@
 	"github.com/martenstage/martenstage/internal/keys"
 )
 
-func quiet() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	return logger
 }
 
-// issue makes, or replaces, the keys of a process.
-func issue(t *testing.T, folder, name string, role keys.Role) keys.Files {
+// issueKeys creates or replaces the keys of a process.
+func issueKeys(t *testing.T, folder, name string, role keys.Role) keys.Files {
 	t.Helper()
 	require.NoError(t, keys.Issue(folder, keys.Request{
 		Name: name, Role: role, Lifetime: time.Hour, Replace: true,
@@ -38,30 +38,30 @@
 	}
 }
 
-func secure(t *testing.T, files keys.Files) *Security {
+func newSecurity(t *testing.T, files keys.Files) *Security {
 	t.Helper()
-	security, err := NewSecurity(SecuritySettings{Files: files}, quiet())
+	security, err := NewSecurity(SecuritySettings{Files: files}, discardLogger())
 	require.NoError(t, err)
 	return security
 }
 
-// serial is what a server answers with: the serial number of its caller.
-func serial(response http.ResponseWriter, request *http.Request) {
+// replyWithSerial replies with the serial number of the client's certificate.
+func replyWithSerial(response http.ResponseWriter, request *http.Request) {
 	_, _ = io.WriteString(response, request.TLS.PeerCertificates[0].SerialNumber.String())
 }
 
-// caller calls a server and counts the connections that it opens for that.
-type caller struct {
+// countingCaller calls a server and counts the connections that it dials.
+type countingCaller struct {
 	client *Client
-	opened atomic.Int64
+	dials  atomic.Int64
 }
 
-func newCaller(t *testing.T, security *Security) *caller {
-	created := &caller{}
+func newCountingCaller(t *testing.T, security *Security) *countingCaller {
+	created := &countingCaller{}
 	created.client = NewClient(security, ClientConfig{
 		ServerRoles: []keys.Role{keys.RoleControl},
 		Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
-			created.opened.Add(1)
+			created.dials.Add(1)
 			return (&net.Dialer{}).DialContext(ctx, network, address)
 		},
 	})
@@ -69,7 +69,7 @@
 	return created
 }
 
-func (c *caller) call(t *testing.T, address string) (answer string, err error) {
+func (c *countingCaller) call(t *testing.T, address string) (answer string, err error) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, c.client.URL(address), nil)
 	require.NoError(t, err)
@@ -83,31 +83,31 @@
 	return string(text), nil
 }
 
-// TestReloadedKeysDropNoConnection replaces the keys of both ends: the
-// connection that is open goes on with the old ones, and the next one uses the
-// new. Files that can't be used change nothing.
-func TestReloadedKeysDropNoConnection(t *testing.T) {
+// TestReloadingKeysKeepsConnections replaces the keys of both ends: an open
+// connection continues with the old keys, and the next one uses the new keys.
+// Invalid key files have no effect.
+func TestReloadingKeysKeepsConnections(t *testing.T) {
 	folder := t.TempDir()
 	require.NoError(t, keys.Init(folder, time.Now()))
-	serving := secure(t, issue(t, folder, "control-1", keys.RoleControl))
-	files := issue(t, folder, "router-1", keys.RoleRouter)
-	calling := secure(t, files)
-	server, err := NewServer("127.0.0.1:0", RequireRole(serving, http.HandlerFunc(serial), keys.RoleRouter), serving, quiet())
+	serving := newSecurity(t, issueKeys(t, folder, "control-1", keys.RoleControl))
+	files := issueKeys(t, folder, "router-1", keys.RoleRouter)
+	calling := newSecurity(t, files)
+	server, err := NewServer("127.0.0.1:0", RequireRole(serving, http.HandlerFunc(replyWithSerial), keys.RoleRouter), serving, discardLogger())
 	require.NoError(t, err)
 	go func() { _ = server.Serve() }()
 	defer func() { _ = server.Close() }()
-	caller := newCaller(t, calling)
+	caller := newCountingCaller(t, calling)
 	first, err := caller.call(t, server.Address())
 	require.NoError(t, err)
 
-	issue(t, folder, "control-1", keys.RoleControl)
-	issue(t, folder, "router-1", keys.RoleRouter)
+	issueKeys(t, folder, "control-1", keys.RoleControl)
+	issueKeys(t, folder, "router-1", keys.RoleRouter)
 	require.NoError(t, serving.Reloader().Reload())
 	require.NoError(t, calling.Reloader().Reload())
 	again, err := caller.call(t, server.Address())
 	require.NoError(t, err)
 	require.Equal(t, first, again)
-	require.EqualValues(t, 1, caller.opened.Load(), "the connection goes on")
+	require.EqualValues(t, 1, caller.dials.Load(), "the connection stays open")
 	caller.client.CloseIdle()
 	renewed, err := caller.call(t, server.Address())
 	require.NoError(t, err)
@@ -121,31 +121,31 @@
 	require.Equal(t, renewed, kept)
 }
 
-// TestOnlyTheRightRolesMeet refuses, on either end, a peer of another role and
-// one of another site.
-func TestOnlyTheRightRolesMeet(t *testing.T) {
-	folder, elsewhere := t.TempDir(), t.TempDir()
+// TestPeersOfOtherRolesAreRefused checks that a client refuses a server of
+// another role, and a server refuses clients of another role or authority.
+func TestPeersOfOtherRolesAreRefused(t *testing.T) {
+	folder, otherFolder := t.TempDir(), t.TempDir()
 	require.NoError(t, keys.Init(folder, time.Now()))
-	require.NoError(t, keys.Init(elsewhere, time.Now()))
+	require.NoError(t, keys.Init(otherFolder, time.Now()))
 	serve := func(files keys.Files) string {
-		security := secure(t, files)
-		server, err := NewServer("127.0.0.1:0", RequireRole(security, http.HandlerFunc(serial), keys.RoleRouter), security, quiet())
+		security := newSecurity(t, files)
+		server, err := NewServer("127.0.0.1:0", RequireRole(security, http.HandlerFunc(replyWithSerial), keys.RoleRouter), security, discardLogger())
 		require.NoError(t, err)
 		go func() { _ = server.Serve() }()
 		t.Cleanup(func() { _ = server.Close() })
 		return server.Address()
 	}
-	control := serve(issue(t, folder, "control-1", keys.RoleControl))
-	relay := serve(issue(t, folder, "relay-1", keys.RoleRelay))
-	router := newCaller(t, secure(t, issue(t, folder, "router-1", keys.RoleRouter)))
-	operator := newCaller(t, secure(t, issue(t, folder, "malee", keys.RoleOperator)))
-	stranger := newCaller(t, secure(t, issue(t, elsewhere, "router-1", keys.RoleRouter)))
+	control := serve(issueKeys(t, folder, "control-1", keys.RoleControl))
+	relay := serve(issueKeys(t, folder, "relay-1", keys.RoleRelay))
+	router := newCountingCaller(t, newSecurity(t, issueKeys(t, folder, "router-1", keys.RoleRouter)))
+	operator := newCountingCaller(t, newSecurity(t, issueKeys(t, folder, "malee", keys.RoleOperator)))
+	unknown := newCountingCaller(t, newSecurity(t, issueKeys(t, otherFolder, "router-1", keys.RoleRouter)))
 
 	_, err := router.call(t, control)
 	require.NoError(t, err)
 	_, err = router.call(t, relay)
-	require.ErrorIs(t, err, ErrWrongRole, "the client wants control")
-	_, err = stranger.call(t, control)
+	require.ErrorIs(t, err, ErrWrongRole, "the client requires a control server")
+	_, err = unknown.call(t, control)
 	require.Error(t, err)
 	refused, err := operator.call(t, control)
 	require.NoError(t, err)
--- a/internal/rpc/security.go
+++ b/internal/rpc/security.go
@@ -14,22 +14,22 @@
 // protocolHTTP2 is the ALPN name of HTTP/2 (RFC 9113, section 3.1).
 const protocolHTTP2 = "h2"
 
-// Security says how a process proves itself. The zero value is not usable:
-// plaintext has to be asked for.
+// Security holds how a process authenticates itself and its peers. The zero
+// value is not for use: plaintext must be chosen explicitly (Plaintext).
 type Security struct {
 	reloader *keys.Reloader
 }
 
-// SecuritySettings are the settings that a process's Security is made from.
+// SecuritySettings are the settings for NewSecurity.
 type SecuritySettings struct {
-	// Files of the keys; all of them, or none with InsecurePlaintext.
+	// Files are the key files; all are set, or none with InsecurePlaintext.
 	Files keys.Files
-	// InsecurePlaintext switches authentication and encryption off.
+	// InsecurePlaintext disables authentication and encryption.
 	InsecurePlaintext bool
 }
 
-// SecurityOptions are the settings of a process that say how it proves itself;
-// the settings of each role embed them.
+// SecurityOptions are the authentication settings of a process; the settings of
+// each role embed them.
 type SecurityOptions struct {
 	Authority         string `long:"tls-authority" koanf:"tls-authority" description:"Certificate of the site's authority"`
 	Certificate       string `long:"tls-certificate" koanf:"tls-certificate" description:"Certificate of this process"`
@@ -37,7 +37,7 @@
 	InsecurePlaintext bool   `long:"insecure-plaintext" koanf:"insecure-plaintext" description:"Run without keys: nobody is authenticated and nothing is encrypted"`
 }
 
-// Security returns the settings that Security is made from.
+// Security converts the options to the settings for NewSecurity.
 func (o *SecurityOptions) Security() SecuritySettings {
 	return SecuritySettings{
 		Files:             keys.Files{Authority: o.Authority, Certificate: o.Certificate, Key: o.Key},
@@ -77,10 +77,10 @@
 // IsPlaintext reports whether authentication and encryption are off.
 func (s *Security) IsPlaintext() bool { return s.reloader == nil }
 
-// Reloader returns the reloader to run; nil with plaintext.
+// Reloader returns the key reloader, which the caller runs; nil with plaintext.
 func (s *Security) Reloader() *keys.Reloader { return s.reloader }
 
-// Scheme is the URL scheme of servers.
+// Scheme returns the URL scheme of servers.
 func (s *Security) Scheme() string {
 	if s.IsPlaintext() {
 		return "http"
@@ -88,21 +88,20 @@
 	return "https"
 }
 
-// serverTLS returns the configuration that looks the keys up at each
-// handshake.
+// serverTLS returns a configuration that reads the keys at each handshake.
 func (s *Security) serverTLS() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{protocolHTTP2},
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			material := s.reloader.Current()
+			current := s.reloader.Current()
 			return &tls.Config{
 				MinVersion:   tls.VersionTLS13,
 				NextProtos:   []string{protocolHTTP2},
-				Certificates: []tls.Certificate{material.Certificate},
+				Certificates: []tls.Certificate{current.Certificate},
 				ClientAuth:   tls.RequireAndVerifyClientCert,
-				ClientCAs:    material.Authorities,
-				// A resumed session would outlive keys that were replaced.
+				ClientCAs:    current.Authorities,
+				// Without this, resumed sessions would outlive replaced keys.
 				SessionTicketsDisabled: true,
 			}, nil
 		},
@@ -112,12 +111,12 @@
 // clientTLS returns the configuration for one handshake with a server at a
 // host.
 func (s *Security) clientTLS(host string, roles []keys.Role) *tls.Config {
-	material := s.reloader.Current()
+	current := s.reloader.Current()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{protocolHTTP2},
-		Certificates: []tls.Certificate{material.Certificate},
-		RootCAs:      material.Authorities,
+		Certificates: []tls.Certificate{current.Certificate},
+		RootCAs:      current.Authorities,
 		ServerName:   host,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return checkRole(state.PeerCertificates, roles)
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -19,51 +19,51 @@
 const (
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
-	// maxStreams bounds calls under way on one connection.
-	maxStreams = 1000
-	// connections that are silent for pingAfter are asked for a sign of life
-	// and dropped pingTimeout later, so that a cut without a reset is noticed
-	// well within a lease.
-	pingAfter   = 2 * time.Second
-	pingTimeout = time.Second
+	// maxConcurrentStreams limits the calls in flight on one connection.
+	maxConcurrentStreams = 1000
+	// Connections that receive nothing for pingInterval are pinged, and closed
+	// if there is no reply within pingTimeout, so that a network failure without
+	// a reset is detected well within a lease.
+	pingInterval = 2 * time.Second
+	pingTimeout  = time.Second
 )
 
-// MaxMessageBytes bounds one message. A full configuration of 57,000 servers
+// MaxMessageBytes limits the size of one message. A full configuration of 57,000 servers
 // takes about 3 MB.
 const MaxMessageBytes = 64 << 20
 
 // compressFrom is the size in bytes from which messages are compressed; below
 // it, compression costs more processor time than it saves bandwidth.
-const compressFrom = 4096
+const minCompressBytes = 4096
 
-// HandlerOptions are the connect options that every service is served with.
+// HandlerOptions returns the connect options of every service.
 func HandlerOptions() connect.HandlerOption {
 	return connect.WithHandlerOptions(
 		connect.WithReadMaxBytes(MaxMessageBytes),
-		connect.WithCompressMinBytes(compressFrom),
+		connect.WithCompressMinBytes(minCompressBytes),
 	)
 }
 
 // identityKey is the context key of the caller's identity.
 type identityKey struct{}
 
-// IdentityFrom returns who made the call, as proved by the certificate. It
+// IdentityFrom returns the caller's identity from its verified certificate. It
 // returns false on plaintext connections.
 func IdentityFrom(ctx context.Context) (keys.Identity, bool) {
 	identity, found := ctx.Value(identityKey{}).(keys.Identity)
 	return identity, found
 }
 
-// RequireRole lets only callers of the roles through and refuses others with
-// code permission_denied. On plaintext connections everybody passes. The
-// identity is available by IdentityFrom.
+// RequireRole passes on only requests of callers with one of the roles and
+// refuses others with code permission_denied. Plaintext requests are all passed
+// on. Handlers get the caller's identity with IdentityFrom.
 func RequireRole(security *Security, next http.Handler, roles ...keys.Role) http.Handler {
 	if security.IsPlaintext() {
 		return next
 	}
 	writer := connect.NewErrorWriter()
 	refuse := func(response http.ResponseWriter, request *http.Request, err error) {
-		// The client went away if this fails; there is nobody left to tell.
+		// If this fails, the client has disconnected.
 		_ = writer.Write(response, request, connect.NewError(connect.CodePermissionDenied, err))
 	}
 	return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
@@ -101,7 +101,7 @@
 	return NewServerOn(listener, handler, security, logger), nil
 }
 
-// NewServerOn serves on a listener that is open already.
+// NewServerOn returns a server that uses an open listener.
 func NewServerOn(listener net.Listener, handler http.Handler, security *Security, logger logrus.FieldLogger) *Server {
 	protocols := &http.Protocols{}
 	protocols.SetHTTP2(!security.IsPlaintext())
@@ -112,8 +112,8 @@
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
 		HTTP2: &http.HTTP2Config{
-			MaxConcurrentStreams: maxStreams,
-			SendPingTimeout:      pingAfter,
+			MaxConcurrentStreams: maxConcurrentStreams,
+			SendPingTimeout:      pingInterval,
 			PingTimeout:          pingTimeout,
 		},
 		ErrorLog: log.New(debugWriter(logger), "", 0),
@@ -124,7 +124,7 @@
 	return &Server{http: server, listener: listener, security: security}
 }
 
-// Address returns the address that is listened on.
+// Address returns the address of the listener.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Serve accepts connections until Shutdown or Close.
@@ -141,17 +141,17 @@
 	return errors.Wrap(err, "serve")
 }
 
-// Shutdown stops accepting and waits for calls under way until the context
-// ends, then closes all connections.
+// Shutdown stops accepting connections, waits for calls in flight until the
+// context is done, and closes all connections.
 func (s *Server) Shutdown(ctx context.Context) error {
 	err := s.http.Shutdown(ctx)
 	return errors.Join(err, s.http.Close())
 }
 
-// Close closes the listener and all connections at once.
+// Close closes the listener and all connections immediately.
 func (s *Server) Close() error { return s.http.Close() }
 
-// debugWriter passes lines of the standard library's server on to the log.
+// debugWriter returns a writer that logs the lines of net/http's server.
 func debugWriter(logger logrus.FieldLogger) io.Writer { return lineWriter{logger} }
 
 type lineWriter struct{ logger logrus.FieldLogger }
