--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,6 +1,6 @@
-// Package verdict states what is known about whether a request may have run
-// on a back end. Every error on the request path carries a Verdict, because
-// the caller decides from it whether sending the request again is safe.
+// Package verdict defines whether a request is known to have run on a back end.
+// Every error on the request path carries a Verdict, from which the caller
+// decides whether a retry is safe.
 package verdict
 
 import (
@@ -9,18 +9,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Verdict says whether a request, or one attempt of it, may have run.
+// Verdict states whether a request, or one attempt of it, may have run.
 type Verdict uint8
 
 // The verdicts. The zero value is not a verdict, so that a forgotten
-// assignment shows up as an invalid answer and not as a claim.
+// assignment shows up as an invalid value and not as a statement.
 const (
 	// NotRun is given only when it is provable: nothing was written to any
 	// back end, or every attempt was refused before execution.
 	NotRun Verdict = iota + 1
 	// Ran means a back end confirmed the execution.
 	Ran
-	// MayHaveRun covers everything that is neither provable.
+	// MayHaveRun means that neither of the others is proved.
 	MayHaveRun
 )
 
@@ -71,10 +71,9 @@
 	return nil
 }
 
-// Combine folds the verdicts of all attempts of one request into the verdict
-// of the request: one execution makes it Ran, one doubtful attempt makes it
-// MayHaveRun, and only a request whose every attempt is NotRun is NotRun.
-// A request without attempts is NotRun.
+// Combine returns the verdict of a request from those of all its attempts: Ran if
+// any attempt ran, else NotRun if every attempt is NotRun, else MayHaveRun. A
+// request without attempts is NotRun.
 func Combine(attempts ...Verdict) Verdict {
 	combined := NotRun
 	for _, attempt := range attempts {
@@ -121,22 +120,22 @@
 	// ReasonRegionUnreachable: no entry router of the region that owns the
 	// route takes requests.
 	ReasonRegionUnreachable Reason = "region_unreachable"
-	// ReasonWrongRegion: the region that was asked does not own the route.
+	// ReasonWrongRegion: the region that received the request does not own the route.
 	ReasonWrongRegion Reason = "wrong_region"
 	ReasonInternal    Reason = "internal"
-	// ReasonQuarantined: the request ends the servers that run it, and is sent to none.
+	// ReasonQuarantined: the request brings down the servers that run it and is not sent to any.
 	ReasonQuarantined Reason = "quarantined"
-	// ReasonUnknownKey: the request carries no key that a tenant holds.
+	// ReasonUnknownKey: the request carries no key of a known tenant.
 	ReasonUnknownKey Reason = "unknown_key"
-	// ReasonOverQuota: the tenant has used up what it may send, over all routers.
+	// ReasonOverQuota: the tenant has used up its quota, which applies across all routers.
 	ReasonOverQuota Reason = "over_quota"
-	// ReasonOnTrial: the same request is being tried at one server, since servers ended
-	// while it ran there.
+	// ReasonOnTrial: the same request is running on a single server as a trial, since servers
+	// terminated while running it.
 	ReasonOnTrial Reason = "on_trial"
 )
 
-// Error is a refusal or failure with its verdict. RetryAfter, when positive,
-// tells the caller how long to wait before the request may be sent again.
+// Error is a refusal or failure with its verdict. RetryAfter, if positive, is how
+// long the caller must wait before a retry.
 type Error struct {
 	Verdict    Verdict
 	Reason     Reason
@@ -159,7 +158,7 @@
 }
 
 // Of returns the verdict carried by err. An error without one is MayHaveRun,
-// since nothing is proved about it.
+// since nothing is known about the execution.
 func Of(err error) Verdict {
 	var typed *Error
 	if errors.As(err, &typed) {
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestCombineIsSound checks the one promise that callers act on: a request is
-// called not run only when every attempt is proved not run.
+// TestCombineIsSound checks the guarantee that callers rely on: a request is
+// reported as not run only if every attempt is proved not run.
 func TestCombineIsSound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		attempts := rapid.SliceOf(rapid.SampledFrom([]Verdict{0, NotRun, Ran, MayHaveRun})).Draw(t, "attempts")
