--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,7 +1,7 @@
-// Package trace puts the log lines of several processes that concern one request
-// into one timeline: those that name the request, and those by which a process
-// changed its belief about a server, service or router that the request met,
-// shortly before.
+// Package trace merges the log lines of several processes about one request into
+// a timeline: lines that contain the request's id, and earlier lines within a
+// time window that report a state change of a server, service or router that the
+// request used.
 package trace
 
 import (
@@ -20,12 +20,12 @@
 type Line struct {
 	Time   time.Time
 	Fields map[string]string
-	// Source names where it was read.
+	// Source names the log that the line was read from.
 	Source string
 	Text   string
 }
 
-// Names of fields that the timeline joins lines by.
+// Names of the fields by which lines are correlated.
 const (
 	fieldTime    = "time"
 	fieldRequest = "request"
@@ -34,27 +34,27 @@
 	fieldRouter  = "router"
 )
 
-// maxLineBytes bounds a log line.
+// maxLineBytes limits the length of a log line.
 const maxLineBytes = 1 << 20
 
-// Read returns the lines of a log. What is no line of key=value pairs with a
-// time is passed over and counted.
-func Read(source string, reader io.Reader) (lines []Line, passedOver int, err error) {
+// Read returns the lines of a log. Lines that are not key=value pairs with a time
+// are skipped and counted.
+func Read(source string, reader io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(reader)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scanner.Scan() {
 		line, ok := parse(source, scanner.Text())
 		if !ok {
-			passedOver++
+			skipped++
 			continue
 		}
 		lines = append(lines, line)
 	}
-	return lines, passedOver, errors.Wrapf(scanner.Err(), "reading %s", source)
+	return lines, skipped, errors.Wrapf(scanner.Err(), "reading %s", source)
 }
 
 func parse(source, text string) (Line, bool) {
-	// A prefix that a collector put before the line is not part of it.
+	// Strip a prefix that a log collector added.
 	if start := strings.Index(text, fieldTime+"="); start > 0 {
 		text = text[start:]
 	}
@@ -70,32 +70,33 @@
 	return line, err == nil && decoder.Err() == nil
 }
 
-// Explain returns the lines of a request and, from the time before its last one,
-// those about the servers, services and routers that its lines name, by time.
+// Explain returns, ordered by time, the lines of a request and the lines about
+// the servers, services and routers that these name, from the given period before
+// the request's last line.
 func Explain(lines []Line, request string, before time.Duration) []Line {
-	var own []Line
-	named := map[string]bool{}
+	var requestLines []Line
+	references := map[string]bool{}
 	for _, line := range lines {
 		if line.Fields[fieldRequest] != request {
 			continue
 		}
-		own = append(own, line)
+		requestLines = append(requestLines, line)
 		for _, field := range []string{fieldServer, fieldService, fieldRouter} {
 			if value := line.Fields[field]; value != "" {
-				named[field+"="+value] = true
+				references[field+"="+value] = true
 			}
 		}
 		for _, word := range strings.Fields(line.Fields["steps"]) {
-			named[fieldServer+"="+strings.TrimSuffix(word, ";")] = true
+			references[fieldServer+"="+strings.TrimSuffix(word, ";")] = true
 		}
 	}
-	if len(own) == 0 {
+	if len(requestLines) == 0 {
 		return nil
 	}
-	last := slices.MaxFunc(own, func(a, b Line) int { return a.Time.Compare(b.Time) }).Time
-	timeline := own
+	last := slices.MaxFunc(requestLines, func(a, b Line) int { return a.Time.Compare(b.Time) }).Time
+	timeline := requestLines
 	for _, line := range lines {
-		if line.Fields[fieldRequest] == "" && line.concerns(named) && !line.Time.After(last) && line.Time.After(last.Add(-before)) {
+		if line.Fields[fieldRequest] == "" && line.matchesAny(references) && !line.Time.After(last) && line.Time.After(last.Add(-before)) {
 			timeline = append(timeline, line)
 		}
 	}
@@ -105,12 +106,12 @@
 	return timeline
 }
 
-func (l Line) concerns(named map[string]bool) bool {
+func (l Line) matchesAny(references map[string]bool) bool {
 	for _, field := range []string{fieldServer, fieldService, fieldRouter} {
-		if named[field+"="+l.Fields[field]] {
+		if references[field+"="+l.Fields[field]] {
 			return true
 		}
 	}
-	// A directory names servers as instances.
-	return named[fieldServer+"="+l.Fields["instance"]]
+	// Directory logs identify servers by the field "instance".
+	return references[fieldServer+"="+l.Fields["instance"]]
 }
