--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,6 +1,6 @@
-// Package ring provides the typed bounded queue that joins goroutines. A ring
-// never blocks its producer: when it is full, TryPush reports it and the
-// producer applies its stated overflow rule (refuse, or drop the oldest).
+// Package ring provides a typed, bounded queue between goroutines. It never
+// blocks its producers: if the queue is full, the producer either refuses the
+// item (TryPush) or drops the oldest ones (PushDropOldest).
 package ring
 
 // Ring is a bounded queue for many producers and one consumer.
@@ -14,7 +14,7 @@
 	return &Ring[T]{items: make(chan T, capacity)}
 }
 
-// TryPush appends an item and reports whether there was room.
+// TryPush appends an item and reports whether the ring had free capacity.
 func (r *Ring[T]) TryPush(item T) bool {
 	select {
 	case r.items <- item:
@@ -38,11 +38,11 @@
 	return dropped
 }
 
-// Items returns the channel that the one consumer receives from.
+// Items returns the channel that the single consumer receives from.
 func (r *Ring[T]) Items() <-chan T { return r.items }
 
-// Depth returns the number of waiting items, for a gauge.
+// Depth returns the number of queued items, for use in a gauge.
 func (r *Ring[T]) Depth() int { return len(r.items) }
 
-// Capacity returns the bound of the ring.
+// Capacity returns the maximum number of queued items.
 func (r *Ring[T]) Capacity() int { return cap(r.items) }
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -27,18 +27,18 @@
 	require.Equal(t, 5, <-queue.Items())
 }
 
-// TestManyProducersLoseNothing counts what producers were told was taken
-// against what the consumer received.
+// TestManyProducersLoseNothing checks that the consumer receives every item
+// that TryPush accepted.
 func TestManyProducersLoseNothing(t *testing.T) {
 	const producers, each = 8, 1000
 	queue := New[int](16)
-	var taken sync.Map
+	var accepted sync.Map
 	var group sync.WaitGroup
 	for producer := range producers {
 		group.Go(func() {
 			for item := range each {
 				if queue.TryPush(producer*each + item) {
-					taken.Store(producer*each+item, true)
+					accepted.Store(producer*each+item, true)
 				}
 			}
 		})
@@ -57,7 +57,7 @@
 	for queue.Depth() > 0 {
 		received[<-queue.Items()] = true
 	}
-	taken.Range(func(item, _ any) bool {
+	accepted.Range(func(item, _ any) bool {
 		require.Contains(t, received, item)
 		return true
 	})
