--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -1,13 +1,13 @@
-// Package records defines what back ends, callers, operators and followers
-// write down during a run, so that the judge can tell from their records, not
-// from the product's own word, whether the invariants held. Records are JSON
-// lines in files, one document a line.
+// Package records defines the records that back ends, callers, operators and
+// followers write during a test run. The judge checks the invariants from these
+// records and not from what the product reports. Records are files of JSON lines,
+// one document per line.
 package records
 
 import "time"
 
-// Execution is one query as a back end saw it. It is written for refusals,
-// too, with Executed false.
+// Execution is one query as observed by a back end. Refusals are recorded too,
+// with Executed false.
 type Execution struct {
 	Backend    string `json:"backend"`
 	Service    string `json:"service"`
@@ -17,34 +17,34 @@
 	Request    string `json:"request"`
 	Attempt    string `json:"attempt"`
 	Once       bool   `json:"once"`
-	// BodyDigest is that of the request body as read.
+	// BodyDigest is the digest of the request body as read.
 	BodyDigest string `json:"body_digest"`
-	// Digests of the items produced, in order, for coverage checks.
+	// ItemDigests are the digests of the items produced, in order, for coverage checks.
 	ItemDigests []string  `json:"item_digests,omitempty"`
 	Arrived     time.Time `json:"arrived"`
 	Started     time.Time `json:"started"`
 	Finished    time.Time `json:"finished"`
-	// Executed says that the query began to run; Refusal is set when it did not.
+	// Executed is true if the query started to run; otherwise Refusal is set.
 	Executed bool   `json:"executed"`
 	Refusal  string `json:"refusal,omitempty"`
-	// Canceled says that the run was cut short by a cancellation.
+	// Canceled is true if a cancellation aborted the execution.
 	Canceled bool `json:"canceled"`
-	// Failed says that the run ended without a part for another reason: its
-	// deadline came first, or it was answered with an error.
+	// Failed is true if the execution produced no part for another reason: its
+	// deadline expired, or the reply was an error.
 	Failed bool `json:"failed,omitempty"`
-	// Replied says that the whole reply was handed to the socket.
+	// Replied is true if the complete reply was written to the socket.
 	Replied bool `json:"replied"`
 }
 
-// Departure is the moment at which a back end began to leave.
+// Departure is a period in which a back end drains or is out of service.
 type Departure struct {
 	Backend string    `json:"backend"`
 	Began   time.Time `json:"began"`
-	// Returned is zero while the back end is away.
+	// Returned is zero until the back end returns to service.
 	Returned time.Time `json:"returned"`
 }
 
-// CallerAnswer is one request as its caller saw it.
+// CallerAnswer is one request as observed by its caller.
 type CallerAnswer struct {
 	Request    string    `json:"request"`
 	Route      string    `json:"route"`
@@ -74,27 +74,27 @@
 	Attempts int `json:"attempts"`
 	Hedges   int `json:"hedges"`
 	Retries  int `json:"retries"`
-	// DeadlineMs is what the caller asked for; 0 for the policy's.
+	// DeadlineMs is the deadline set by the caller; 0 for the policy's.
 	DeadlineMs int64 `json:"deadline_ms"`
-	// ElapsedMs is the router's own time from arrival to decision.
+	// ElapsedMs is the time from arrival to decision as measured by the router.
 	ElapsedMs float64 `json:"elapsed_ms,omitempty"`
-	// CallerLagMs is how much of the time from Sent to Received passed while
-	// the caller's process waited for its turn on a busy machine, as observed
-	// by its timers.
+	// CallerLagMs is the part of the time from Sent to Received in which the
+	// caller's process waited for a CPU on a loaded machine, as measured by its
+	// timers.
 	CallerLagMs float64 `json:"caller_lag_ms,omitempty"`
-	// ConfigRevision is the revision that the router admitted the request
-	// under; 0 when the answer does not say.
+	// ConfigRevision is the revision under which the router admitted the request;
+	// 0 if the answer does not state it.
 	ConfigRevision uint64 `json:"config_revision,omitempty"`
 }
 
-// PlannedStop is the time span in which a router was stopped as planned.
+// PlannedStop is the period of a router's planned stop.
 type PlannedStop struct {
 	Router string    `json:"router"`
 	Began  time.Time `json:"began"`
 	Exited time.Time `json:"exited"`
 }
 
-// OperatorAnswer is a configuration change as its operator saw it.
+// OperatorAnswer is a configuration change as observed by its operator.
 type OperatorAnswer struct {
 	ChangeID string    `json:"change_id"`
 	Expected uint64    `json:"expected_revision"`
@@ -104,19 +104,19 @@
 	Revision uint64    `json:"revision"`
 	TextHash string    `json:"text_hash"`
 	Error    string    `json:"error,omitempty"`
-	// InForce is when the operator was told that the revision is in force
-	// everywhere; zero when the operator did not wait for it.
+	// InForce is when the operator was notified that the revision is in effect
+	// everywhere; zero if the operator did not wait for it.
 	InForce time.Time `json:"in_force,omitzero"`
 }
 
-// Admission is the configuration revision under which a router admitted work, at
-// a moment or at several.
+// Admission is the configuration revision under which a router admitted one or
+// more requests.
 type Admission struct {
 	Node     string `json:"node"`
 	Revision uint64 `json:"revision"`
-	// At is the first moment.
+	// At is the time of the first request.
 	At time.Time `json:"at"`
-	// Until is the last moment; zero when there is one only.
+	// Until is the time of the last request; zero if there is only one.
 	Until time.Time `json:"until,omitzero"`
 	// Count is the number of requests; zero means one.
 	Count int `json:"count,omitempty"`
