--- a/internal/journal/event.go
+++ b/internal/journal/event.go
@@ -1,5 +1,5 @@
 // Package journal defines the events that operators read after a failure:
-// what failed, when, for how long and whom it touched.
+// what failed, when, for how long, and what was affected.
 package journal
 
 import "time"
@@ -35,14 +35,14 @@
 	KindSnapshotRestarted   Kind = "snapshot_restarted"
 	KindBadEcho             Kind = "bad_echo"
 	KindEventsDropped       Kind = "events_dropped"
-	// A router sees no entry router of another region, whose name is in the
-	// detail, or sees one again.
+	// A router can't reach any entry router of another region, whose name is in
+	// the detail, or can reach one again.
 	KindRegionUnreachable Kind = "region_unreachable"
 	KindRegionReachable   Kind = "region_reachable"
 )
 
-// Routine reports whether events of the kind come with planned work. They are
-// many, and kept apart from those of failures.
+// Routine reports whether events of the kind result from planned work. They are
+// numerous and stored separately from failures.
 func (k Kind) Routine() bool {
 	switch k {
 	case KindChangeAccepted, KindRestarted, KindDrainBegun, KindDrainDone:
@@ -52,22 +52,22 @@
 	}
 }
 
-// Event is one entry of the journal. Equal events close in time are folded
-// into one with a count and a time span.
+// Event is one entry of the journal. Equal events close in time are merged into
+// one with a count and a time span.
 type Event struct {
 	// ID is unique per source: source, boot number and sequence.
 	ID     string
 	Time   time.Time
 	Kind   Kind
 	Source string
-	// Service, Shard and Address name what the event is about; empty when the
+	// Service, Shard and Address identify the subject of the event; empty if the
 	// kind has none.
 	Service string
 	Shard   string
 	Address string
 	Detail  string
-	// Count is how many equal events this one stands for, LastTime the time
-	// of the last of them.
+	// Count is the number of equal events merged into this one, LastTime the
+	// time of the last one.
 	Count    uint64
 	LastTime time.Time
 }
