--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -5,49 +5,47 @@
 // Header maps canonical header names to their values.
 type Header = map[string][]string
 
-// Request is one whole request of a client.
+// Request is a complete request of a client.
 type Request struct {
 	Method string
 	// Target is the path and query as the client sent them.
 	Target string
 	Host   string
-	// Header holds what is passed on.
+	// Header holds the headers that are forwarded.
 	Header Header
 	Body   []byte
-	// Tenant is the name of who sends the request; empty where there are no tenants. Header
-	// tells it to servers.
+	// Tenant is the name of the sending tenant; empty without tenants. Header passes it to
+	// servers.
 	Tenant string
-	// ID is the client's name for this try of its request.
+	// ID is the client's id for this attempt of its request.
 	ID string
 }
 
-// Reply is one whole answer of a server.
+// Reply is a complete reply of a server.
 type Reply struct {
 	Status int
 	Header Header
 	Body   []byte
-	// Stamp is the server's signature on the answer; empty for none.
+	// Stamp is the server's signature of the reply; empty for none.
 	Stamp string
 }
 
 // Succeeded reports whether the server answered with a 2xx status.
 func (r *Reply) Succeeded() bool { return r.Status >= 200 && r.Status < 300 }
 
-// firstServerFailure is the least status of a server's own failure (RFC 9110, section 15.6).
+// firstServerFailure is the lowest server error status (RFC 9110, section 15.6).
 const firstServerFailure = 500
 
-// ServerFailed reports whether the server answered with a failure of its own, not with one
-// that is the request's.
+// ServerFailed reports whether the reply is a server error, not a client error.
 func (r *Reply) ServerFailed() bool { return r.Status >= firstServerFailure }
 
-// Load is what a server says of its load.
+// Load is the load that a server reports.
 type Load struct {
-	// Known is false when it said nothing.
+	// Known is false if the server reported no load.
 	Known   bool
 	Running int
 	Waiting int
 	Slots   int
-	// Slowness is how long work takes there just now, in multiples of the usual; 0 if
-	// that was not said.
+	// Slowness is the current duration of work relative to the usual one; 0 if not reported.
 	Slowness float64
 }
