--- a/internal/settings/address.go
+++ b/internal/settings/address.go
@@ -9,8 +9,8 @@
 )
 
 // ParseAddress reads an IPv4 address with a port, such as 127.0.0.1:8080.
-// Host names are refused, because processes find each other by IP number, and
-// so are IPv6 addresses, which the fleets do not route.
+// It rejects host names, because processes address each other by IP, and IPv6
+// addresses, which the fleets do not route.
 func ParseAddress(text string) (netip.AddrPort, error) {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
@@ -22,7 +22,8 @@
 	return address, nil
 }
 
-// suggestion returns a hint at the known key nearest to a mistyped one, or "".
+// suggestion returns a hint that names the known key closest to an unknown one,
+// or "" if none is close.
 func suggestion(key string, known []string) string {
 	name, found := nearest.Name(key, known)
 	if !found {
@@ -31,7 +32,8 @@
 	return "; did you mean " + name + "?"
 }
 
-// WithPort returns addresses with their port replaced, unless the port is 0.
+// WithPort returns the addresses with their ports replaced. A port of 0 leaves
+// them unchanged, as does an address that can't be parsed.
 func WithPort(addresses []string, port uint16) []string {
 	if port == 0 {
 		return addresses
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,10 +1,11 @@
 // Package settings loads the settings of a process. A settings struct is flat,
-// but for structs that it embeds (tagged koanf:",squash"): every field is at once a key of the YAML file and a command-line option of
-// the same name, so one struct tag set describes both:
+// except for embedded structs (tagged koanf:",squash"). Each field is both a key
+// of the YAML file and a command-line option of the same name, declared by one
+// set of struct tags:
 //
 //	Listen string `long:"listen" koanf:"listen" default:"127.0.0.1:0" validate:"ip_port" description:"…"`
 //
-// Precedence is default, then file, then command line.
+// The file overrides the defaults, and the command line overrides the file.
 package settings
 
 import (
@@ -25,14 +26,14 @@
 )
 
 const (
-	keyTag     = "koanf"
-	keyDivider = "\x00" // keys are flat; no character of a key divides it
+	keyTag       = "koanf"
+	keyDelimiter = "\x00" // keys are flat, so the delimiter must not occur in a key
 )
 
-// Load fills target, a pointer to a settings struct whose options were just
-// parsed by command, from the YAML file at path. Options that were given on
-// the command line win over the file. An empty path means no file. Unknown
-// keys and invalid values are errors that name the key.
+// Load reads the YAML file at path into target and validates it. Target is a
+// pointer to a settings struct whose options command has already parsed; options
+// set on the command line take precedence over the file. An empty path means no
+// file. Unknown keys and invalid values are errors that name the key.
 func Load(path string, command *flags.Command, target any) error {
 	if path != "" {
 		if err := loadFile(path, command, target); err != nil {
@@ -43,33 +44,34 @@
 }
 
 func loadFile(path string, command *flags.Command, target any) error {
-	store := koanf.New(keyDivider)
+	store := koanf.New(keyDelimiter)
 	if err := store.Load(file.Provider(path), yaml.Parser()); err != nil {
 		if errors.Is(err, os.ErrNotExist) {
 			return errors.Newf("settings file %s does not exist", path)
 		}
 		return errors.Wrapf(err, "settings file %s", path)
 	}
-	if err := checkKeys(store, target); err != nil {
+	if err := rejectUnknownKeys(store, target); err != nil {
 		return errors.Wrapf(err, "settings file %s", path)
 	}
-	for _, key := range givenOptions(command, Keys(target)) {
+	for _, key := range commandLineKeys(command, Keys(target)) {
 		store.Delete(key)
 	}
 	return errors.Wrapf(unmarshal(store, target), "settings file %s", path)
 }
 
-// Fill sets a settings struct to its defaults and then to the values, by key,
-// and validates it. Unknown keys and invalid values are errors.
+// Fill sets a settings struct to its defaults, applies the values, which are
+// indexed by key, and validates the result. Unknown keys and invalid values are
+// errors.
 func Fill(values map[string]any, target any) error {
 	if _, err := flags.NewParser(target, flags.None).ParseArgs(nil); err != nil {
 		return errors.Wrap(err, "defaults")
 	}
-	store := koanf.New(keyDivider)
-	if err := store.Load(confmap.Provider(values, keyDivider), nil); err != nil {
+	store := koanf.New(keyDelimiter)
+	if err := store.Load(confmap.Provider(values, keyDelimiter), nil); err != nil {
 		return err
 	}
-	if err := checkKeys(store, target); err != nil {
+	if err := rejectUnknownKeys(store, target); err != nil {
 		return err
 	}
 	if err := unmarshal(store, target); err != nil {
@@ -78,8 +80,9 @@
 	return Validate(target)
 }
 
-// checkKeys refuses keys that the settings struct does not have.
-func checkKeys(store *koanf.Koanf, target any) error {
+// rejectUnknownKeys returns an error if the store has a key that the settings
+// struct lacks.
+func rejectUnknownKeys(store *koanf.Koanf, target any) error {
 	known := Keys(target)
 	for _, key := range store.Keys() {
 		if !slices.Contains(known, key) {
@@ -93,19 +96,19 @@
 	return store.UnmarshalWithConf("", target, koanf.UnmarshalConf{Tag: keyTag, FlatPaths: true})
 }
 
-// givenOptions returns the keys that were set on the command line.
-func givenOptions(command *flags.Command, known []string) []string {
+// commandLineKeys returns the keys that were set on the command line.
+func commandLineKeys(command *flags.Command, known []string) []string {
 	if command == nil {
 		return nil
 	}
-	var given []string
+	var set []string
 	for _, key := range known {
 		option := command.FindOptionByLongName(key)
 		if option != nil && option.IsSet() && !option.IsSetDefault() {
-			given = append(given, key)
+			set = append(set, key)
 		}
 	}
-	return given
+	return set
 }
 
 // Keys returns the keys of a settings struct in field order.
@@ -119,7 +122,7 @@
 	return keys
 }
 
-// Option describes one setting for the reference page.
+// Option describes one setting for the reference documentation.
 type Option struct {
 	Key         string
 	Type        string
@@ -128,7 +131,7 @@
 	Rule        string
 }
 
-// Options returns the description of every setting of a struct.
+// Options describes every setting of a settings struct.
 func Options(target any) []Option {
 	var options []Option
 	for _, field := range reflect.VisibleFields(structType(target)) {
@@ -147,16 +150,16 @@
 	return options
 }
 
-// typeName names a type as a reader of a settings file would.
-func typeName(kind reflect.Type) string {
+// typeName returns the name that the reference documentation uses for a type.
+func typeName(valueType reflect.Type) string {
 	switch {
-	case kind == reflect.TypeFor[time.Duration]():
+	case valueType == reflect.TypeFor[time.Duration]():
 		return "duration"
-	case kind.Kind() == reflect.Slice:
-		return "list of " + typeName(kind.Elem())
-	case kind.Kind() == reflect.Bool:
+	case valueType.Kind() == reflect.Slice:
+		return "list of " + typeName(valueType.Elem())
+	case valueType.Kind() == reflect.Bool:
 		return "true or false"
-	case kind.Kind() == reflect.String:
+	case valueType.Kind() == reflect.String:
 		return "text"
 	default:
 		return "number"
@@ -164,17 +167,18 @@
 }
 
 func structType(target any) reflect.Type {
-	kind := reflect.TypeOf(target)
-	for kind.Kind() == reflect.Pointer {
-		kind = kind.Elem()
+	targetType := reflect.TypeOf(target)
+	for targetType.Kind() == reflect.Pointer {
+		targetType = targetType.Elem()
 	}
-	return kind
+	return targetType
 }
 
 // ErrInvalid marks the errors of Validate.
 var ErrInvalid = errors.New("invalid settings")
 
-// DescribeRule words the rule of an Option for the reference page.
+// DescribeRule renders the validation rule of an Option as text for the
+// reference documentation.
 func DescribeRule(rule string) string {
 	words := map[string]string{
 		"required": "required", "ip_port": "IP address with port", "min": "at least ", "max": "at most ", "oneof": "one of ",
@@ -189,9 +193,9 @@
 	return strings.Join(parts, "; ")
 }
 
-// Validate checks the validate tags of a settings struct. Besides the
-// library's rules it knows ip_port (an IPv4 address with a port) and ip_ports
-// (a list of them).
+// Validate checks a settings struct against its validate tags. In addition to
+// the library's rules it supports ip_port, an IPv4 address with a port; a list
+// of them uses "dive,ip_port".
 func Validate(target any) error {
 	err := newValidator().Struct(target)
 	var invalid validator.ValidationErrors
@@ -199,37 +203,37 @@
 		return err
 	}
 	problems := make([]string, 0, len(invalid))
-	for _, field := range invalid {
-		problems = append(problems, describe(field))
+	for _, fieldError := range invalid {
+		problems = append(problems, describeFieldError(fieldError))
 	}
 	return errors.Mark(errors.Newf("invalid settings: %s", strings.Join(problems, "; ")), ErrInvalid)
 }
 
 func newValidator() *validator.Validate {
-	checker := validator.New(validator.WithRequiredStructEnabled())
-	checker.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get(keyTag) })
-	mustRegister(checker, "ip_port", func(level validator.FieldLevel) bool {
+	validate := validator.New(validator.WithRequiredStructEnabled())
+	validate.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get(keyTag) })
+	mustRegister(validate, "ip_port", func(level validator.FieldLevel) bool {
 		_, err := ParseAddress(level.Field().String())
 		return err == nil
 	})
-	return checker
+	return validate
 }
 
-func mustRegister(checker *validator.Validate, name string, rule validator.Func) {
-	if err := checker.RegisterValidation(name, rule); err != nil {
+func mustRegister(validate *validator.Validate, name string, rule validator.Func) {
+	if err := validate.RegisterValidation(name, rule); err != nil {
 		panic(err) // only for a malformed rule name, which is a programming error
 	}
 }
 
-func describe(field validator.FieldError) string {
-	value := fmt.Sprintf("%v", field.Value())
-	if field.Tag() == "ip_port" {
+func describeFieldError(fieldError validator.FieldError) string {
+	value := fmt.Sprintf("%v", fieldError.Value())
+	if fieldError.Tag() == "ip_port" {
 		_, err := ParseAddress(value)
-		return fmt.Sprintf("%s: %v", field.Field(), err)
+		return fmt.Sprintf("%s: %v", fieldError.Field(), err)
 	}
-	rule := field.Tag()
-	if field.Param() != "" {
-		rule += "=" + field.Param()
+	rule := fieldError.Tag()
+	if fieldError.Param() != "" {
+		rule += "=" + fieldError.Param()
 	}
-	return fmt.Sprintf("%s: %q does not satisfy %s", field.Field(), value, rule)
+	return fmt.Sprintf("%s: %q does not satisfy %s", fieldError.Field(), value, rule)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,7 +15,7 @@
 	Control []string `long:"control" koanf:"control" validate:"dive,ip_port" description:"addresses"`
 }
 
-// load parses arguments, then the file, as a role's command does.
+// load parses the arguments and then loads the file, as the command of a role does.
 func load(t *testing.T, text string, arguments ...string) (exampleSettings, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.yaml")
@@ -29,7 +29,7 @@
 	return options, Load(path, command, &options)
 }
 
-func TestCommandLineWinsOverFileWinsOverDefault(t *testing.T) {
+func TestPrecedenceOfCommandLineFileAndDefault(t *testing.T) {
 	options, err := load(t, "listen: 127.0.0.2:90\ncontrol: [127.0.0.3:1]\n", "--routers", "5")
 	require.NoError(t, err)
 	require.Equal(t, exampleSettings{Listen: "127.0.0.2:90", Routers: 5, Control: []string{"127.0.0.3:1"}}, options)
@@ -39,7 +39,7 @@
 	require.Equal(t, "127.0.0.4:1", options.Listen)
 }
 
-func TestBadSettingsNameTheKey(t *testing.T) {
+func TestInvalidSettingsNameTheKey(t *testing.T) {
 	cases := map[string]struct{ text, want string }{
 		"unknown key":    {"listn: 127.0.0.1:80", `unknown key "listn"; did you mean listen?`},
 		"host name":      {"listen: localhost:80", `listen: "localhost:80" is not an IP address`},
--- a/internal/settings/watch.go
+++ b/internal/settings/watch.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-// watchInterval is how often a settings file is looked at: it may change without
-// a signal.
-const watchInterval = time.Second
+// pollInterval is how often Watch reads the settings file, which may change
+// without a signal.
+const pollInterval = time.Second
 
-// Hangups tells of SIGHUPs from the call on, none of which ends the process any more: a
-// process that does not catch the signal is ended by it. So it comes first of all in a process
-// whose settings may change, before what takes time to start.
+// Hangups returns a channel that receives SIGHUP. From the call on, the signal no longer
+// terminates the process, which is its default action. A process that reloads settings must
+// therefore call Hangups first, before any slow start-up work.
 func Hangups() <-chan os.Signal {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups
 }
 
-// Watch calls changed after a hangup and when the content of the file is another, until the
-// context ends. Hangups after that are caught as well: settings may change while a planned
-// stop finishes what was begun.
+// Watch calls changed on each SIGHUP and whenever the content of the file changes, until the
+// context is canceled. SIGHUP stays caught after that, because settings may change while a
+// planned stop finishes its requests.
 func Watch(ctx context.Context, hangups <-chan os.Signal, path string, changed func(reason string)) {
-	ticker := time.NewTicker(watchInterval)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	known, _ := os.ReadFile(path)
+	lastContent, _ := os.ReadFile(path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
-			known, _ = os.ReadFile(path)
+			lastContent, _ = os.ReadFile(path)
 			changed("signal")
 		case <-ticker.C:
 			content, err := os.ReadFile(path)
-			if err == nil && !bytes.Equal(content, known) {
-				known = content
+			if err == nil && !bytes.Equal(content, lastContent) {
+				lastContent = content
 				changed("file")
 			}
 		}
--- a/internal/settings/watch_test.go
+++ b/internal/settings/watch_test.go
@@ -12,9 +12,10 @@
 	"github.com/martenstage/martenstage/internal/settings"
 )
 
-// TestHangupDoesNotEndAProcessThatStops sends SIGHUP after the context has ended, as
-// when settings change during a planned stop: the process lives on to finish it.
-func TestHangupDoesNotEndAProcessThatStops(t *testing.T) {
+// TestHangupDoesNotTerminateStoppingProcess sends SIGHUP after the context is canceled, as
+// when settings change during a planned stop. The signal must not terminate the process
+// before the stop is complete.
+func TestHangupDoesNotTerminateStoppingProcess(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	watched := make(chan struct{})
 	go func() {
