--- a/internal/site/generate_test.go
+++ b/internal/site/generate_test.go
@@ -11,15 +11,16 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// generate returns the settings by path of a site with the given machines.
+// generate returns the generated settings of a site with the given machines,
+// indexed by file path.
 func generate(t *testing.T, machines ...string) map[string]map[string]any {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "site.yaml")
 	text := "name: test\nfolders: {keys: /keys, data: /data}\nmachines:\n  - {" + strings.Join(machines, "}\n  - {") + "}\n"
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-	described, err := Read(path)
+	site, err := Read(path)
 	require.NoError(t, err)
-	files, err := described.Files()
+	files, err := site.Files()
 	require.NoError(t, err)
 	return lo.SliceToMap(files, func(file File) (string, map[string]any) {
 		values := map[string]any{}
@@ -30,8 +31,8 @@
 	})
 }
 
-// TestRoutersSurviveTheLossOfAnUpstream checks whom a router follows: always at
-// least two, and those of its own zone if they are enough.
+// TestRoutersSurviveTheLossOfAnUpstream checks the upstreams of a router: those
+// of its own zone if there are at least two, otherwise also others of the site.
 func TestRoutersSurviveTheLossOfAnUpstream(t *testing.T) {
 	const (
 		first  = "name: one, zone: a, address: 10.0.0.1, roles: [control, router], voter: 1"
@@ -56,8 +57,10 @@
 	}
 }
 
-// TestJoiningVoterFoundsNoGroup checks the settings of a replacement.
-func TestJoiningVoterFoundsNoGroup(t *testing.T) {
+// TestJoiningVoterHasNoInitialMembers checks the settings of a voter that
+// replaces a failed one: it joins the group and is given no voter list, which
+// would start a new group.
+func TestJoiningVoterHasNoInitialMembers(t *testing.T) {
 	generated := generate(t,
 		"name: one, zone: a, address: 10.0.0.1, roles: [control], voter: 1",
 		"name: two, zone: b, address: 10.0.0.2, roles: [control], voter: 2",
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,6 +1,6 @@
-// Package site turns the description of a deployment, one file that names its
-// machines and what runs on each, into the settings file of every process and
-// the commands that issue their keys.
+// Package site generates, from the description of a deployment (a file that
+// lists its machines and their roles), the settings file of every process and
+// the script that issues the keys.
 package site
 
 import (
@@ -32,13 +32,12 @@
 	Name    string  `koanf:"name" validate:"required"`
 	Folders Folders `koanf:"folders" validate:"required"`
 	Ports   Ports   `koanf:"ports"`
-	// Platform is the address of the platform's list of machines; none when
-	// empty.
+	// Platform is the address of the platform's machine list. Empty means none.
 	Platform string    `koanf:"platform" validate:"omitempty,hostname_port"`
 	Machines []Machine `koanf:"machines" validate:"min=1,dive"`
-	// Plaintext makes processes run without keys.
+	// Plaintext makes the processes run without TLS keys.
 	Plaintext bool `koanf:"insecure-plaintext"`
-	// Settings are further settings by role, for every process of the role.
+	// Settings are additional settings by role, applied to every process of it.
 	Settings map[string]map[string]any `koanf:"settings" validate:"dive,keys,oneof=control relay router,endkeys"`
 }
 
@@ -50,7 +49,7 @@
 	Data string `koanf:"data" validate:"required"`
 }
 
-// Ports are those of every process of a role.
+// Ports are the listening ports, the same on every machine.
 type Ports struct {
 	Control        uint16 `koanf:"control" validate:"min=1"`
 	ControlStatus  uint16 `koanf:"control-status" validate:"min=1"`
@@ -61,7 +60,7 @@
 	RouterPeers    uint16 `koanf:"router-peers" validate:"min=1"`
 }
 
-// defaultPorts are used where a description names no other.
+// defaultPorts are used for ports that the description does not set.
 var defaultPorts = Ports{
 	Control: 7100, ControlStatus: 7101, ControlMetrics: 7102,
 	Relay: 7110, RelayMetrics: 7112,
@@ -76,23 +75,22 @@
 	Roles   []string `koanf:"roles" validate:"min=1,unique,dive,oneof=control relay router"`
 	// Voter is the id of the control voter. An id is never reused.
 	Voter uint64 `koanf:"voter"`
-	// Join marks a voter that joins a group that runs already, in the place of
-	// a lost one.
+	// Join marks a voter that joins a running group to replace a failed voter.
 	Join bool `koanf:"join"`
 }
 
-// has reports whether a role runs on the machine.
-func (m Machine) has(role string) bool { return slices.Contains(m.Roles, role) }
+// hasRole reports whether the machine runs a role.
+func (m Machine) hasRole(role string) bool { return slices.Contains(m.Roles, role) }
 
-// at returns the machine's address with a port.
-func (m Machine) at(port uint16) string {
+// addressWithPort returns the machine's address with a port.
+func (m Machine) addressWithPort(port uint16) string {
 	return netip.AddrPortFrom(netip.MustParseAddr(m.Address), port).String()
 }
 
-// process is the name of the process of a role, as in its certificate.
-func (m Machine) process(role string) string { return m.Name + "-" + role }
+// processName returns the name of the process of a role, as in its certificate.
+func (m Machine) processName(role string) string { return m.Name + "-" + role }
 
-// Read reads and checks a description. Unknown keys are errors.
+// Read reads and validates a site description. Unknown keys are errors.
 func Read(path string) (*Site, error) {
 	store := koanf.New(".")
 	if err := store.Load(file.Provider(path), yaml.Parser()); err != nil {
@@ -103,18 +101,18 @@
 		TagName: "koanf", Result: site, ErrorUnused: true,
 	}})
 	if err == nil {
-		err = site.check()
+		err = site.validate()
 	}
 	return site, errors.Wrapf(err, "site description %s", path)
 }
 
-// check refuses a description that can't work.
-func (s *Site) check() error {
+// validate returns an error for a description that would not work.
+func (s *Site) validate() error {
 	err := validator.New(validator.WithRequiredStructEnabled()).Struct(s)
 	var invalid validator.ValidationErrors
 	if errors.As(err, &invalid) {
-		return errors.New(strings.Join(lo.Map(invalid, func(field validator.FieldError, _ int) string {
-			return fmt.Sprintf("%s: %v does not satisfy %s", strings.TrimPrefix(field.Namespace(), "Site."), field.Value(), rule(field))
+		return errors.New(strings.Join(lo.Map(invalid, func(fieldError validator.FieldError, _ int) string {
+			return fmt.Sprintf("%s: %v does not satisfy %s", strings.TrimPrefix(fieldError.Namespace(), "Site."), fieldError.Value(), ruleText(fieldError))
 		}), "; "))
 	}
 	if err != nil {
@@ -126,25 +124,26 @@
 	if address := firstDuplicate(s.Machines, func(machine Machine) string { return machine.Address }); address != "" {
 		return errors.Newf("two machines have the address %s", address)
 	}
-	return s.checkVoters()
+	return s.validateVoters()
 }
 
-func rule(field validator.FieldError) string {
-	if field.Param() == "" {
-		return field.Tag()
+func ruleText(fieldError validator.FieldError) string {
+	if fieldError.Param() == "" {
+		return fieldError.Tag()
 	}
-	return field.Tag() + "=" + field.Param()
+	return fieldError.Tag() + "=" + fieldError.Param()
 }
 
-// checkVoters wants an id for every control and an odd number of them: one
-// more voter than an odd number adds no failure that the group survives.
-func (s *Site) checkVoters() error {
+// validateVoters requires an id for every control voter and an odd number of
+// voters: adding one to an odd number does not let the group survive one more
+// failure.
+func (s *Site) validateVoters() error {
 	for _, machine := range s.Machines {
-		if machine.has(RoleControl) != (machine.Voter > 0) {
+		if machine.hasRole(RoleControl) != (machine.Voter > 0) {
 			return errors.Newf("machine %s: voter, an id from 1, belongs to machines with the role control and to no others", machine.Name)
 		}
 	}
-	controls := s.with(RoleControl)
+	controls := s.machinesWithRole(RoleControl)
 	if len(controls)%2 == 0 {
 		return errors.Newf("%d machines have the role control; there must be an odd number, 3 as a rule", len(controls))
 	}
@@ -162,12 +161,12 @@
 	return lo.FirstOrEmpty(lo.FindDuplicates(values))
 }
 
-// with returns the machines that have a role.
-func (s *Site) with(role string) []Machine {
-	return lo.Filter(s.Machines, func(machine Machine, _ int) bool { return machine.has(role) })
+// machinesWithRole returns the machines that run a role.
+func (s *Site) machinesWithRole(role string) []Machine {
+	return lo.Filter(s.Machines, func(machine Machine, _ int) bool { return machine.hasRole(role) })
 }
 
-// addresses returns where the processes of a role listen.
-func addresses(machines []Machine, port uint16) []string {
-	return lo.Map(machines, func(machine Machine, _ int) string { return machine.at(port) })
+// listenAddresses returns the addresses of the machines with a port.
+func listenAddresses(machines []Machine, port uint16) []string {
+	return lo.Map(machines, func(machine Machine, _ int) string { return machine.addressWithPort(port) })
 }
