--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -18,7 +18,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Files of an authority's folder.
+// File names in the folder of an authority.
 const (
 	AuthorityCertificateFile = "authority.crt"
 	AuthorityKeyFile         = "authority.key"
@@ -27,32 +27,34 @@
 )
 
 const (
-	certificateBlock = "CERTIFICATE"
-	keyBlock         = "PRIVATE KEY"
-	folderMode       = 0o700
-	keyMode          = 0o600
-	certificateMode  = 0o644
-	// serialBits is the size of serial numbers, which must not be guessable
+	certificateBlockType = "CERTIFICATE"
+	keyBlockType         = "PRIVATE KEY"
+	folderMode           = 0o700
+	keyMode              = 0o600
+	certificateMode      = 0o644
+	// serialBits is the size of serial numbers, which must be unpredictable
 	// (CA/Browser Forum baseline requirements, 7.1: at least 64 bits).
 	serialBits = 127
-	// clockTolerance dates certificates back, for machines whose clock is late.
-	clockTolerance = 5 * time.Minute
+	// clockSkewTolerance is how far NotBefore is dated back, for machines whose
+	// clock is behind.
+	clockSkewTolerance = 5 * time.Minute
 )
 
 // AuthorityLifetime is how long an authority's certificate is valid.
 const AuthorityLifetime = 10 * 365 * 24 * time.Hour
 
-// ErrExists is returned when a file that would be written is already there.
-var ErrExists = errors.New("the file exists already")
+// ErrExists is returned if a file to be written exists already.
+var ErrExists = errors.New("file exists already")
 
-// Init makes a new authority in a folder. It refuses to replace one.
+// Init creates a certificate authority in a folder. It returns ErrExists if the
+// folder has one.
 func Init(folder string, now time.Time) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return errors.Wrap(err, "make the folder of the authority")
+		return errors.Wrap(err, "create the authority's folder")
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return errors.Wrap(err, "make the key of the authority")
+		return errors.Wrap(err, "generate the authority's key")
 	}
 	template, err := newTemplate(now, AuthorityLifetime)
 	if err != nil {
@@ -65,9 +67,9 @@
 	template.KeyUsage = x509.KeyUsageCertSign
 	encoded, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return errors.Wrap(err, "sign the authority")
+		return errors.Wrap(err, "sign the authority's certificate")
 	}
-	return writePair(pair{
+	return writeKeyPair(keyPair{
 		certificatePath: filepath.Join(folder, AuthorityCertificateFile),
 		keyPath:         filepath.Join(folder, AuthorityKeyFile),
 		certificate:     encoded,
@@ -79,18 +81,18 @@
 type Request struct {
 	Name string
 	Role Role
-	// Addresses are the IP addresses that the holder serves at. Operators need
+	// Addresses are the IP addresses that the holder listens on. Operators need
 	// none.
 	Addresses []netip.Addr
 	Lifetime  time.Duration
-	// Replace allows a certificate of the same name to be written over.
+	// Replace allows an existing certificate of the same name to be overwritten.
 	Replace bool
 }
 
-// Issue signs a certificate with the authority of a folder and writes NAME.crt
-// and NAME.key beside it.
+// Issue signs a certificate with the authority in a folder and writes NAME.crt
+// and NAME.key to the same folder.
 func Issue(folder string, request Request, now time.Time) error {
-	if err := request.check(); err != nil {
+	if err := request.validate(); err != nil {
 		return err
 	}
 	authority, err := readAuthority(folder)
@@ -99,7 +101,7 @@
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return errors.Wrap(err, "make a key")
+		return errors.Wrap(err, "generate a key")
 	}
 	template, err := newTemplate(now, request.Lifetime)
 	if err != nil {
@@ -115,16 +117,16 @@
 	if err != nil {
 		return errors.Wrap(err, "sign the certificate")
 	}
-	return writePair(pair{
+	return writeKeyPair(keyPair{
 		certificatePath: filepath.Join(folder, request.Name+certificateSuffix),
 		keyPath:         filepath.Join(folder, request.Name+keySuffix),
 		certificate:     encoded,
 		key:             key,
-		replace:         request.Replace,
+		overwrite:       request.Replace,
 	})
 }
 
-func (r Request) check() error {
+func (r Request) validate() error {
 	switch {
 	case r.Name == "" || filepath.Base(r.Name) != r.Name || r.Name+certificateSuffix == AuthorityCertificateFile:
 		return errors.Newf("%q can't be the name of a certificate", r.Name)
@@ -139,11 +141,11 @@
 func newTemplate(now time.Time, lifetime time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, errors.Wrap(err, "draw a serial number")
+		return nil, errors.Wrap(err, "generate a serial number")
 	}
 	return &x509.Certificate{
 		SerialNumber: serial,
-		NotBefore:    now.Add(-clockTolerance),
+		NotBefore:    now.Add(-clockSkewTolerance),
 		NotAfter:     now.Add(lifetime),
 	}, nil
 }
@@ -154,7 +156,7 @@
 }
 
 func readAuthority(folder string) (*authority, error) {
-	certificateBytes, err := readBlock(filepath.Join(folder, AuthorityCertificateFile), certificateBlock)
+	certificateBytes, err := readPEMBlock(filepath.Join(folder, AuthorityCertificateFile), certificateBlockType)
 	if err != nil {
 		return nil, err
 	}
@@ -162,7 +164,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "parse the authority's certificate")
 	}
-	keyBytes, err := readBlock(filepath.Join(folder, AuthorityKeyFile), keyBlock)
+	keyBytes, err := readPEMBlock(filepath.Join(folder, AuthorityKeyFile), keyBlockType)
 	if err != nil {
 		return nil, err
 	}
@@ -177,56 +179,57 @@
 	return &authority{certificate: certificate, key: key}, nil
 }
 
-func readBlock(path, kind string) ([]byte, error) {
-	text, err := os.ReadFile(path)
+func readPEMBlock(path, blockType string) ([]byte, error) {
+	content, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "read the authority (made by `martenstage keys init`)")
+		return nil, errors.Wrap(err, "read the authority (created by `martenstage keys init`)")
 	}
-	block, _ := pem.Decode(text)
-	if block == nil || block.Type != kind {
-		return nil, errors.Newf("%s holds no PEM block %q", path, kind)
+	block, _ := pem.Decode(content)
+	if block == nil || block.Type != blockType {
+		return nil, errors.Newf("%s contains no PEM block of type %q", path, blockType)
 	}
 	return block.Bytes, nil
 }
 
-// pair is a certificate with its key and the files that they go to.
-type pair struct {
+// keyPair is a certificate with its key and the paths to write them to.
+type keyPair struct {
 	certificatePath, keyPath string
 	certificate              []byte
 	key                      *ecdsa.PrivateKey
-	replace                  bool
+	overwrite                bool
 }
 
-func writePair(written pair) error {
-	encodedKey, err := x509.MarshalPKCS8PrivateKey(written.key)
+func writeKeyPair(pair keyPair) error {
+	encodedKey, err := x509.MarshalPKCS8PrivateKey(pair.key)
 	if err != nil {
 		return errors.Wrap(err, "encode a key")
 	}
-	if !written.replace {
-		for _, path := range []string{written.keyPath, written.certificatePath} {
+	if !pair.overwrite {
+		for _, path := range []string{pair.keyPath, pair.certificatePath} {
 			if _, err := os.Lstat(path); err == nil {
 				return errors.Wrap(ErrExists, path)
 			}
 		}
 	}
-	// The key goes first: a process that reloads between the two writes finds
-	// a pair that does not match and keeps the one that it has.
-	if err := writeFile(written.keyPath, keyBlock, encodedKey, keyMode); err != nil {
+	// The key is written first: a process that reloads between the two writes
+	// reads a key that does not match the certificate and keeps its current pair.
+	if err := writePEMFile(pair.keyPath, keyBlockType, encodedKey, keyMode); err != nil {
 		return err
 	}
-	return writeFile(written.certificatePath, certificateBlock, written.certificate, certificateMode)
+	return writePEMFile(pair.certificatePath, certificateBlockType, pair.certificate, certificateMode)
 }
 
-// writeFile replaces a file as a whole, so that no reader sees half of it.
-func writeFile(path, kind string, content []byte, mode os.FileMode) error {
+// writePEMFile replaces a file atomically, so that readers never see a partial
+// one.
+func writePEMFile(path, blockType string, content []byte, mode os.FileMode) error {
 	temporary, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
-		return errors.Wrap(err, "make a file")
+		return errors.Wrap(err, "create a temporary file")
 	}
 	defer func() { _ = os.Remove(temporary.Name()) }()
 	err = errors.Join(
 		temporary.Chmod(mode),
-		pem.Encode(temporary, &pem.Block{Type: kind, Bytes: content}),
+		pem.Encode(temporary, &pem.Block{Type: blockType, Bytes: content}),
 		temporary.Sync(),
 		temporary.Close(),
 	)
--- a/internal/keys/doc.go
+++ b/internal/keys/doc.go
@@ -1,6 +1,6 @@
-// Package keys makes and reads the certificates by which the processes of a
-// site know each other. A site has an authority of its own, made once by Init;
-// Issue signs a certificate for each process and operator. A certificate names
-// its holder in the common name and its role in the organizational unit, and
-// lists the IP addresses that the holder may be reached at.
+// Package keys issues and loads the certificates by which the processes of a
+// site authenticate each other. Each site has its own certificate authority,
+// created once by Init; Issue signs a certificate for each process and operator.
+// A certificate has the holder's name as common name and its role as
+// organizational unit, and lists the IP addresses that the holder listens on.
 package keys
--- a/internal/keys/identity.go
+++ b/internal/keys/identity.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Role says what the holder of a certificate may call and serve.
+// Role determines what the holder of a certificate may call and serve.
 type Role string
 
 // Roles.
@@ -16,26 +16,26 @@
 	RoleRelay    Role = "relay"
 	RoleRouter   Role = "router"
 	RoleOperator Role = "operator"
-	// RolePlatform is the platform's list of machines.
+	// RolePlatform is the role of the platform's machine list service.
 	RolePlatform Role = "platform"
 )
 
-// Roles lists the roles that certificates are issued for.
+// Roles returns the roles that certificates are issued for.
 func Roles() []Role {
 	return []Role{RoleControl, RoleRelay, RoleRouter, RoleOperator, RolePlatform}
 }
 
-// Identity is who a verified certificate belongs to.
+// Identity is the holder of a verified certificate.
 type Identity struct {
 	Name string
 	Role Role
 }
 
-// ErrNoIdentity is returned for a certificate that names no holder or role.
-var ErrNoIdentity = errors.New("the certificate names no holder or no known role")
+// ErrNoIdentity is returned for a certificate without a holder or a known role.
+var ErrNoIdentity = errors.New("certificate has no common name or no known role")
 
-// IdentityOf reads the holder and role of a certificate. The caller must have
-// verified the certificate.
+// IdentityOf returns the holder and role in a certificate, which the caller must
+// have verified.
 func IdentityOf(certificate *x509.Certificate) (Identity, error) {
 	units := certificate.Subject.OrganizationalUnit
 	if certificate.Subject.CommonName == "" || len(units) != 1 || !slices.Contains(Roles(), Role(units[0])) {
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -12,13 +12,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-func quiet() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	return logger
 }
 
-func site(t *testing.T) (folder string) {
+func newAuthority(t *testing.T) (folder string) {
 	t.Helper()
 	folder = filepath.Join(t.TempDir(), "site")
 	require.NoError(t, Init(folder, time.Now()))
@@ -39,10 +39,11 @@
 	}
 }
 
-// TestNothingIsReplacedUnasked checks that neither an authority nor a
-// certificate is written over, and that keys are for their owner's eyes.
-func TestNothingIsReplacedUnasked(t *testing.T) {
-	folder := site(t)
+// TestFilesAreOverwrittenOnlyOnRequest checks that neither an authority nor a
+// certificate is overwritten by default, and that only the owner of a key file
+// has access to it.
+func TestFilesAreOverwrittenOnlyOnRequest(t *testing.T) {
+	folder := newAuthority(t)
 	require.ErrorIs(t, Init(folder, time.Now()), ErrExists)
 	require.NoError(t, Issue(folder, routerRequest(), time.Now()))
 	require.ErrorIs(t, Issue(folder, routerRequest(), time.Now()), ErrExists)
@@ -54,15 +55,15 @@
 		require.NoError(t, err)
 		require.Zero(t, info.Mode().Perm()&0o077, name)
 	}
-	reloader, err := NewReloader(filesOf(folder, "router-1"), quiet())
+	reloader, err := NewReloader(filesOf(folder, "router-1"), discardLogger())
 	require.NoError(t, err)
 	require.Equal(t, Identity{Name: "router-1", Role: RoleRouter}, reloader.Current().Identity)
 }
 
-// TestUnusableKeysAreRefused starts with keys that don't go together, and
-// reloads such over good ones, which stay in use.
+// TestUnusableKeysAreRefused starts with files that don't match, are expired or
+// missing, and reloads broken files over valid keys, which must stay in use.
 func TestUnusableKeysAreRefused(t *testing.T) {
-	folder, elsewhere := site(t), site(t)
+	folder, elsewhere := newAuthority(t), newAuthority(t)
 	require.NoError(t, Issue(folder, routerRequest(), time.Now()))
 	require.NoError(t, Issue(elsewhere, routerRequest(), time.Now()))
 	good, foreign := filesOf(folder, "router-1"), filesOf(elsewhere, "router-1")
@@ -76,35 +77,35 @@
 		"out of date":         filesOf(folder, "late"),
 		"file does not exist": {Authority: good.Authority, Certificate: good.Certificate, Key: good.Key + "x"},
 	} {
-		_, err := NewReloader(files, quiet())
+		_, err := NewReloader(files, discardLogger())
 		require.Error(t, err, name)
 	}
 
-	reloader, err := NewReloader(good, quiet())
+	reloader, err := NewReloader(good, discardLogger())
 	require.NoError(t, err)
 	before := reloader.Current()
-	whole, err := os.ReadFile(good.Certificate)
+	complete, err := os.ReadFile(good.Certificate)
 	require.NoError(t, err)
-	for _, broken := range [][]byte{nil, whole[:len(whole)/2]} {
+	for _, broken := range [][]byte{nil, complete[:len(complete)/2]} {
 		require.NoError(t, os.WriteFile(good.Certificate, broken, 0o600))
 		require.Error(t, reloader.Reload())
 		require.Same(t, before, reloader.Current())
 	}
-	require.NoError(t, os.WriteFile(good.Certificate, whole, 0o600))
+	require.NoError(t, os.WriteFile(good.Certificate, complete, 0o600))
 	require.NoError(t, reloader.Reload())
 }
 
-// TestAuthorityIsReplacedWithoutAStop follows the operators' page: while the
-// file of authorities holds both, keys of either are good.
+// TestAuthorityIsReplacedWithoutAStop follows the documented procedure: while the
+// authority file holds both authorities, certificates of either are valid.
 func TestAuthorityIsReplacedWithoutAStop(t *testing.T) {
-	old, renewed := site(t), site(t)
+	old, renewed := newAuthority(t), newAuthority(t)
 	require.NoError(t, Issue(old, routerRequest(), time.Now()))
 	require.NoError(t, Issue(renewed, routerRequest(), time.Now()))
 	files := filesOf(old, "router-1")
-	reloader, err := NewReloader(files, quiet())
+	reloader, err := NewReloader(files, discardLogger())
 	require.NoError(t, err)
 	first := reloader.Current().Certificate.Leaf.SerialNumber
-	move := func(from, to string, also ...string) {
+	copyFile := func(from, to string, also ...string) {
 		var text []byte
 		for _, path := range append(also, from) {
 			part, err := os.ReadFile(path)
@@ -114,14 +115,14 @@
 		require.NoError(t, os.WriteFile(to, text, 0o600))
 	}
 	next := filesOf(renewed, "router-1")
-	move(next.Authority, files.Authority, files.Authority)
+	copyFile(next.Authority, files.Authority, files.Authority)
 	require.NoError(t, reloader.Reload())
 	require.Equal(t, first, reloader.Current().Certificate.Leaf.SerialNumber)
-	move(next.Key, files.Key)
-	require.Error(t, reloader.Reload(), "between the two files the old pair stays")
-	move(next.Certificate, files.Certificate)
+	copyFile(next.Key, files.Key)
+	require.Error(t, reloader.Reload(), "the old pair stays in use until both files are replaced")
+	copyFile(next.Certificate, files.Certificate)
 	require.NoError(t, reloader.Reload())
-	move(next.Authority, files.Authority)
+	copyFile(next.Authority, files.Authority)
 	require.NoError(t, reloader.Reload())
 	require.NotEqual(t, first, reloader.Current().Certificate.Leaf.SerialNumber)
 }
--- a/internal/keys/reloader.go
+++ b/internal/keys/reloader.go
@@ -14,28 +14,28 @@
 	"github.com/sirupsen/logrus"
 )
 
-// ReloadInterval is how often files are looked at for changes. Polling works
-// alike for files that are replaced, linked or mounted.
+// ReloadInterval is how often the files are checked for changes. Polling works
+// the same for files that are replaced, linked or mounted.
 const ReloadInterval = 2 * time.Second
 
-// Files names the files of a process's keys.
+// Files are the paths of a process's certificate, key and authority.
 type Files struct {
-	// Authority is the certificate of the site's authority. It may hold
-	// several, so that an authority can be replaced without a stop.
+	// Authority is the certificate of the site's authority. The file may hold
+	// several, so that an authority can be replaced without downtime.
 	Authority   string
 	Certificate string
 	Key         string
 }
 
-// Material is a set of keys that was read together.
+// Material is a certificate with its key and authorities, loaded together.
 type Material struct {
 	Certificate tls.Certificate
 	Authorities *x509.CertPool
 	Identity    Identity
 }
 
-// Reloader holds the newest keys that could be read. Connections keep the keys
-// that they were opened with; only new handshakes use new ones.
+// Reloader holds the most recent keys that were loaded successfully. Open
+// connections keep the keys of their handshake; new handshakes use the new ones.
 type Reloader struct {
 	files   Files
 	logger  logrus.FieldLogger
@@ -43,8 +43,8 @@
 	digest  []byte
 }
 
-// NewReloader reads the files. It returns an error if they are not whole, not
-// valid now, or not signed by the authority.
+// NewReloader loads the files. It returns an error if they are incomplete, not
+// valid at this time, or not signed by the authority.
 func NewReloader(files Files, logger logrus.FieldLogger) (*Reloader, error) {
 	reloader := &Reloader{files: files, logger: logger}
 	if err := reloader.Reload(); err != nil {
@@ -56,8 +56,8 @@
 // Current returns the keys to use for a new handshake.
 func (r *Reloader) Current() *Material { return r.current.Load() }
 
-// Run looks at the files until the context ends. Files that can't be used are
-// logged and the keys in use are kept.
+// Run reloads changed files until the context is canceled. If they can't be used,
+// it logs the first of consecutive failures and keeps the current keys.
 func (r *Reloader) Run(ctx context.Context) {
 	ticker := time.NewTicker(ReloadInterval)
 	defer ticker.Stop()
@@ -76,18 +76,18 @@
 	}
 }
 
-// Reload reads the files again if they changed. It must not be called
-// concurrently with itself.
+// Reload reads the files and, if they changed, replaces the current keys. It must
+// not be called concurrently.
 func (r *Reloader) Reload() error {
-	texts, err := r.files.read()
+	files, err := r.files.read()
 	if err != nil {
 		return err
 	}
-	digest := texts.digest()
+	digest := files.digest()
 	if bytes.Equal(digest, r.digest) {
 		return nil
 	}
-	material, err := texts.parse()
+	material, err := files.parse()
 	if err != nil {
 		return err
 	}
@@ -100,37 +100,37 @@
 	return nil
 }
 
-type texts struct{ authority, certificate, key []byte }
+type pemFiles struct{ authority, certificate, key []byte }
 
-func (f Files) read() (texts, error) {
+func (f Files) read() (pemFiles, error) {
 	authority, err := os.ReadFile(f.Authority)
 	if err != nil {
-		return texts{}, errors.Wrap(err, "read the authority's certificate")
+		return pemFiles{}, errors.Wrap(err, "read the authority's certificate")
 	}
 	certificate, err := os.ReadFile(f.Certificate)
 	if err != nil {
-		return texts{}, errors.Wrap(err, "read the certificate")
+		return pemFiles{}, errors.Wrap(err, "read the certificate")
 	}
 	key, err := os.ReadFile(f.Key)
 	if err != nil {
-		return texts{}, errors.Wrap(err, "read the key")
+		return pemFiles{}, errors.Wrap(err, "read the key")
 	}
-	return texts{authority: authority, certificate: certificate, key: key}, nil
+	return pemFiles{authority: authority, certificate: certificate, key: key}, nil
 }
 
-func (t texts) digest() []byte {
+func (t pemFiles) digest() []byte {
 	hash := sha256.New()
-	for _, text := range [][]byte{t.authority, t.certificate, t.key} {
-		sum := sha256.Sum256(text)
+	for _, content := range [][]byte{t.authority, t.certificate, t.key} {
+		sum := sha256.Sum256(content)
 		hash.Write(sum[:])
 	}
 	return hash.Sum(nil)
 }
 
-func (t texts) parse() (*Material, error) {
+func (t pemFiles) parse() (*Material, error) {
 	authorities := x509.NewCertPool()
 	if !authorities.AppendCertsFromPEM(t.authority) {
-		return nil, errors.New("the authority's file holds no certificate")
+		return nil, errors.New("the authority's file contains no certificate")
 	}
 	certificate, err := tls.X509KeyPair(t.certificate, t.key)
 	if err != nil {
