--- a/internal/steadyclock/steadyclock.go
+++ b/internal/steadyclock/steadyclock.go
@@ -1,12 +1,12 @@
-// Package steadyclock tells the time by which processes measure ages, leases and deadlines:
-// a steady one that also counts while the machine is suspended.
+// Package steadyclock provides the clock by which processes measure ages, leases and
+// deadlines: a monotonic clock that also advances while the machine is suspended.
 //
-// The steady clock of package time (CLOCK_MONOTONIC) stands still then. A machine that was
-// suspended for a minute would take a lease that ended long ago for a good one, and what it
-// last heard for fresh. Now adds what CLOCK_BOOTTIME has counted beyond it.
+// The monotonic clock of package time (CLOCK_MONOTONIC) stops during a suspension. After a
+// suspension of a minute, a process would take an expired lease for valid and its last
+// received data for fresh. Now therefore adds the time by which CLOCK_BOOTTIME is ahead.
 //
-// Timers, contexts and connections of the standard library go by the clock that stands
-// still; Until, WithDeadline and Runtime translate.
+// Timers, contexts and connections of the standard library use the monotonic clock that
+// stops; Until, WithDeadline and Runtime convert to it.
 package steadyclock
 
 import (
@@ -18,53 +18,55 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock adds up how long the machine was suspended since the clock was made. It is safe for
-// concurrent use.
+// Clock is a monotonic clock that includes the time for which the machine was suspended
+// since the Clock was created. It is safe for concurrent use.
 type Clock struct {
-	machine Machine
+	source  Machine
 	started time.Time
-	// first is the most that the clocks were apart when the clock was made.
-	first time.Duration
-	// looked is when the clocks were last read, suspended what was found then, both ns.
-	looked    atomic.Int64
+	// initialOffset is an upper bound of the offset between the two clocks of the source
+	// when the Clock was created.
+	initialOffset time.Duration
+	// lastRead is when the clocks were last read, as time since started, and suspended is the
+	// total suspension measured so far, both in ns.
+	lastRead  atomic.Int64
 	suspended atomic.Int64
 	err       error
 }
 
-// lookInterval is how long a reading counts: reading both clocks takes 0.1 to 0.3 us, and a
-// request asks for the time some hundred times. After a suspension a process believes for
-// that long at the most that there was none.
-const lookInterval = time.Millisecond
+// readInterval is how long a reading of the clocks is reused: reading both takes 0.1 to
+// 0.3 us, and a request needs the time about a hundred times. A suspension is noticed at most
+// this long after it ended.
+const readInterval = time.Millisecond
 
-// Machine has the two clocks that a Clock compares. Readings may fail.
+// Machine provides the two clocks that a Clock compares. Reading them may fail.
 type Machine interface {
-	// Running returns the time that stands still while the machine is suspended.
+	// Running returns the clock that stops while the machine is suspended.
 	Running() (time.Duration, error)
-	// SinceBoot returns the time that counts on.
+	// SinceBoot returns the clock that advances during suspensions.
 	SinceBoot() (time.Duration, error)
 }
 
-// firstReadings is how often a new clock compares those of the machine.
-const firstReadings = 8
+// initialReadings is the number of readings from which New takes the lowest offset.
+const initialReadings = 8
 
-// New returns a clock that goes by those of a machine.
+// New returns a Clock that is based on the clocks of a machine.
 func New(machine Machine) *Clock {
-	made := &Clock{machine: machine, started: time.Now(), first: math.MaxInt64}
-	for range firstReadings {
-		apart, err := atMostApart(machine)
+	created := &Clock{source: machine, started: time.Now(), initialOffset: math.MaxInt64}
+	for range initialReadings {
+		offset, err := offsetUpperBound(machine)
 		if err != nil {
-			made.err = err
-			return made
+			created.err = err
+			return created
 		}
-		made.first = min(made.first, apart)
+		created.initialOffset = min(created.initialOffset, offset)
 	}
-	return made
+	return created
 }
 
-// atMostApart returns a bound above what the clocks are apart. The process may wait for a processor
-// between two readings: by this bound at first, and the one below later, that wait never counts as a
-// suspension.
-func atMostApart(machine Machine) (time.Duration, error) {
+// offsetUpperBound returns an upper bound of the offset between the clocks. The process may be
+// descheduled between the two readings. As New uses the upper bound and later readings use the
+// lower bound, such a delay never counts as a suspension.
+func offsetUpperBound(machine Machine) (time.Duration, error) {
 	running, err := machine.Running()
 	if err != nil {
 		return 0, err
@@ -73,8 +75,9 @@
 	return sinceBoot - running, err
 }
 
-// atLeastApart returns a bound below what the clocks are apart; see atMostApart.
-func atLeastApart(machine Machine) (time.Duration, error) {
+// offsetLowerBound returns a lower bound of the offset between the clocks; see
+// offsetUpperBound.
+func offsetLowerBound(machine Machine) (time.Duration, error) {
 	sinceBoot, err := machine.SinceBoot()
 	if err != nil {
 		return 0, err
@@ -83,51 +86,52 @@
 	return sinceBoot - running, err
 }
 
-// Now returns the time. Its wall clock reading is off by the suspensions since the process
-// began: for what a person reads, use time.Now.
+// Now returns the current time. Its wall clock reading is ahead by the suspensions since the
+// Clock was created; use time.Now for times that are shown to people.
 func (c *Clock) Now() time.Time {
 	now := time.Now()
-	at := int64(now.Sub(c.started))
-	if passed := at - c.looked.Load(); passed < 0 || passed >= int64(lookInterval) {
-		c.look(at)
+	elapsed := int64(now.Sub(c.started))
+	if sinceRead := elapsed - c.lastRead.Load(); sinceRead < 0 || sinceRead >= int64(readInterval) {
+		c.update(elapsed)
 	}
 	return now.Add(time.Duration(c.suspended.Load()))
 }
 
-// look reads both clocks. One that can't be read leaves what was found before.
-func (c *Clock) look(at int64) {
-	c.looked.Store(at)
+// update reads both clocks and raises the measured suspension. If a clock can't be read, the
+// previous value stays.
+func (c *Clock) update(elapsed int64) {
+	c.lastRead.Store(elapsed)
 	if c.err != nil {
 		return
 	}
-	apart, err := atLeastApart(c.machine)
+	offset, err := offsetLowerBound(c.source)
 	if err != nil {
 		return
 	}
-	found := int64(apart - c.first)
+	suspended := int64(offset - c.initialOffset)
 	for {
 		known := c.suspended.Load()
-		// A suspension is long; less than this is not worth a step of the clock.
-		if found < known+int64(lookInterval) || c.suspended.CompareAndSwap(known, found) {
+		// Suspensions are long; smaller differences do not justify a step of the clock.
+		if suspended < known+int64(readInterval) || c.suspended.CompareAndSwap(known, suspended) {
 			return
 		}
 	}
 }
 
-// Suspended returns for how long the machine was suspended since the clock was made.
+// Suspended returns how long the machine was suspended since the Clock was created.
 func (c *Clock) Suspended() time.Duration {
-	c.look(int64(time.Since(c.started)))
+	c.update(int64(time.Since(c.started)))
 	return time.Duration(c.suspended.Load())
 }
 
-// thisMachine reads CLOCK_MONOTONIC and CLOCK_BOOTTIME (clock_gettime(2)).
-type thisMachine struct{}
+// systemClocks reads CLOCK_MONOTONIC and CLOCK_BOOTTIME (clock_gettime(2)).
+type systemClocks struct{}
 
 // Running implements Machine.
-func (thisMachine) Running() (time.Duration, error) { return readClock(unix.CLOCK_MONOTONIC) }
+func (systemClocks) Running() (time.Duration, error) { return readClock(unix.CLOCK_MONOTONIC) }
 
 // SinceBoot implements Machine.
-func (thisMachine) SinceBoot() (time.Duration, error) { return readClock(unix.CLOCK_BOOTTIME) }
+func (systemClocks) SinceBoot() (time.Duration, error) { return readClock(unix.CLOCK_BOOTTIME) }
 
 func readClock(id int32) (time.Duration, error) {
 	var read unix.Timespec
@@ -138,55 +142,55 @@
 // current is the clock of the process.
 var current atomic.Pointer[Clock]
 
-func init() { current.Store(New(thisMachine{})) }
+func init() { current.Store(New(systemClocks{})) }
 
-// Replace puts another clock in the place of the process's and returns what takes that back.
-// It is for tests, in which the clocks of the machine can't be stepped apart.
-func Replace(by *Clock) (restore func()) {
-	before := current.Swap(by)
-	return func() { current.Store(before) }
+// Replace replaces the clock of the process and returns a function that restores it. It is
+// for tests, which can't suspend the machine.
+func Replace(replacement *Clock) (restore func()) {
+	previous := current.Swap(replacement)
+	return func() { current.Store(previous) }
 }
 
-// Now returns the time; see Clock.Now.
+// Now returns the current time; see Clock.Now.
 func Now() time.Time { return current.Load().Now() }
 
-// Since returns how long ago a time by Now was.
+// Since returns the time elapsed since a time obtained from Now.
 func Since(at time.Time) time.Duration { return Now().Sub(at) }
 
-// Until returns how long it is until a time by Now.
+// Until returns the duration until a time on the clock of Now.
 func Until(at time.Time) time.Duration { return at.Sub(Now()) }
 
-// Runtime returns the time at which a timer or a connection of the standard library has to
-// end for it to end at a time by Now, unless the machine is suspended before.
+// Runtime converts a time on the clock of Now to a deadline for timers and connections of the
+// standard library. The deadline is late if the machine is suspended before it.
 func Runtime(at time.Time) time.Time { return time.Now().Add(Until(at)) }
 
-// WithDeadline is context.WithDeadline for a time by Now.
+// WithDeadline is context.WithDeadline for a time on the clock of Now.
 func WithDeadline(ctx context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, Until(at))
 }
 
-// watchInterval is how often Watch looks.
-const watchInterval = 100 * time.Millisecond
+// watchPollInterval is how often Watch checks for a suspension.
+const watchPollInterval = 100 * time.Millisecond
 
-// Watch calls told after each suspension with its length, until the context ends. It
-// returns an error at once if the clocks of the machine can't be read, so that suspensions
-// are not seen.
-func Watch(ctx context.Context, told func(length time.Duration)) error {
-	watched := current.Load()
-	if watched.err != nil {
-		return watched.err
+// Watch calls onSuspension after each suspension with its length, until the context is
+// canceled. It returns an error immediately if the clocks could not be read when the Clock
+// was created, because suspensions then go undetected.
+func Watch(ctx context.Context, onSuspension func(length time.Duration)) error {
+	clock := current.Load()
+	if clock.err != nil {
+		return clock.err
 	}
-	known := watched.Suspended()
-	ticker := time.NewTicker(watchInterval)
+	known := clock.Suspended()
+	ticker := time.NewTicker(watchPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			if found := watched.Suspended(); found > known {
-				told(found - known)
-				known = found
+			if suspended := clock.Suspended(); suspended > known {
+				onSuspension(suspended - known)
+				known = suspended
 			}
 		}
 	}
--- a/internal/steadyclock/steadyclock_test.go
+++ b/internal/steadyclock/steadyclock_test.go
@@ -19,7 +19,7 @@
 func TestTimeCountsWhileTheMachineIsSuspended(t *testing.T) {
 	tested := suspension.NewMachine(t)
 	before, deadline := steadyclock.Now(), steadyclock.Now().Add(time.Minute)
-	require.Less(t, steadyclock.Since(before), 30*time.Second, "what was before the process counts")
+	require.Less(t, steadyclock.Since(before), 30*time.Second, "suspensions before the start of the process count")
 	tested.Suspend(45 * time.Second)
 	require.GreaterOrEqual(t, steadyclock.Since(before), 45*time.Second)
 	require.LessOrEqual(t, steadyclock.Until(deadline), 15*time.Second)
@@ -38,29 +38,29 @@
 	require.True(t, steadyclock.Now().After(known))
 }
 
-func TestClocksThatAreReadApartMakeNoSuspension(t *testing.T) {
+func TestDelayBetweenReadingsIsNoSuspension(t *testing.T) {
 	tested := suspension.NewMachine(t)
 	clock := steadyclock.New(tested)
 	tested.Suspend(20 * time.Microsecond)
 	require.Zero(t, clock.Suspended())
 }
 
-func TestWatchTellsSuspensionsOnce(t *testing.T) {
+func TestWatchReportsSuspensionsOnce(t *testing.T) {
 	tested := suspension.NewMachine(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	told := make(chan time.Duration, 8)
+	reported := make(chan time.Duration, 8)
 	ended := make(chan error, 1)
-	go func() { ended <- steadyclock.Watch(ctx, func(length time.Duration) { told <- length }) }()
-	time.Sleep(3 * time.Millisecond) // It begins with what it finds.
+	go func() { ended <- steadyclock.Watch(ctx, func(length time.Duration) { reported <- length }) }()
+	time.Sleep(3 * time.Millisecond) // Watch must read the initial suspension before the next one.
 	tested.Suspend(7 * time.Second)
-	require.Equal(t, 7*time.Second, (<-told).Round(time.Second))
+	require.Equal(t, 7*time.Second, (<-reported).Round(time.Second))
 	cancel()
 	require.NoError(t, <-ended)
-	require.Empty(t, told)
+	require.Empty(t, reported)
 }
 
-// pausingMachine was never suspended; some time passes at each reading, as where the process waits for
-// a processor.
+// pausingMachine was never suspended; its time advances at each reading, as when the process is
+// descheduled between readings.
 type pausingMachine struct{ now, pause time.Duration }
 
 func (m *pausingMachine) Running() (time.Duration, error) {
@@ -70,12 +70,12 @@
 
 func (m *pausingMachine) SinceBoot() (time.Duration, error) { return m.Running() }
 
-// TestWaitingForAProcessorIsNoSuspension guards against a clock that runs ahead on a busy machine: what
-// passes between two readings was taken for a suspension, for good.
+// TestWaitingForAProcessorIsNoSuspension guards against a clock that runs ahead on a busy machine, because
+// it permanently counts the delay between two readings as a suspension.
 func TestWaitingForAProcessorIsNoSuspension(t *testing.T) {
 	for name, pauses := range map[string]struct{ first, later time.Duration }{
 		"while the clock is read": {0, 24 * time.Millisecond},
-		"while it is made":        {24 * time.Millisecond, 0},
+		"while it is created":     {24 * time.Millisecond, 0},
 		"always":                  {24 * time.Millisecond, 24 * time.Millisecond},
 	} {
 		machine := &pausingMachine{pause: pauses.first}
@@ -91,7 +91,7 @@
 func (m failingMachine) Running() (time.Duration, error)   { return 0, m.reason }
 func (m failingMachine) SinceBoot() (time.Duration, error) { return 0, m.reason }
 
-func TestClocksThatCannotBeReadAreTold(t *testing.T) {
+func TestUnreadableClocksAreReported(t *testing.T) {
 	failing := errors.New("no such clock")
 	t.Cleanup(steadyclock.Replace(steadyclock.New(failingMachine{failing})))
 	require.ErrorIs(t, steadyclock.Watch(context.Background(), nil), failing)
@@ -100,15 +100,15 @@
 	require.True(t, steadyclock.Now().After(before))
 }
 
-// measuring are the packages whose leases, ages and deadlines go by this clock.
-var measuring = []string{"controlclient", "directory", "exchange", "follower", "forward", "gateway", "isolation", "relay", "router", "voter", "wait"}
+// measuringPackages are the packages that measure leases, ages and deadlines by this clock.
+var measuringPackages = []string{"controlclient", "directory", "exchange", "follower", "forward", "gateway", "isolation", "relay", "router", "voter", "wait"}
 
-var runtimeClock = regexp.MustCompile(`\btime\.(Now|Since|Until)\(`)
+var runtimeClockCall = regexp.MustCompile(`\btime\.(Now|Since|Until)\(`)
 
-// TestPackagesThatMeasureUseThisClock reads their sources: whoever needs the wall clock says
-// so in the line.
+// TestPackagesThatMeasureUseThisClock scans the sources of measuringPackages: a line that uses
+// the clock of package time must contain the words "wall clock".
 func TestPackagesThatMeasureUseThisClock(t *testing.T) {
-	for _, name := range measuring {
+	for _, name := range measuringPackages {
 		files, err := filepath.Glob(filepath.Join("..", name, "*.go"))
 		require.NoError(t, err)
 		require.NotEmpty(t, files, name)
@@ -119,7 +119,7 @@
 			text, err := os.ReadFile(file)
 			require.NoError(t, err)
 			for number, line := range strings.Split(string(text), "\n") {
-				if runtimeClock.MatchString(line) {
+				if runtimeClockCall.MatchString(line) {
 					require.Contains(t, line, "wall clock", "%s:%d", file, number+1)
 				}
 			}
