--- a/internal/logging/line_limit.go
+++ b/internal/logging/line_limit.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// maxLinesASecond bounds the lines of one kind: what they tell of shows in a few of them, while a
-// lost zone would fill the log.
-const maxLinesASecond = 20
+// maxLinesPerSecond limits the lines of one kind. A few are enough to show a condition, while the
+// failure of a zone would otherwise flood the log.
+const maxLinesPerSecond = 20
 
-// LineLimit bounds lines of one kind. It is safe for concurrent use.
+// LineLimit limits the rate of log lines of one kind. It is safe for concurrent use.
 type LineLimit struct {
-	mutex  sync.Mutex
-	second time.Time
-	told   int
-	// silent counts the lines left out since the last one.
-	silent int
+	mutex       sync.Mutex
+	windowStart time.Time
+	written     int
+	// suppressed is the number of lines suppressed since the last one written.
+	suppressed int
 }
 
-// Take reports whether a line may be written, and how many were left out before it.
-func (l *LineLimit) Take(now time.Time) (leftOut int, tells bool) {
+// Take reports whether a line may be written, and how many were suppressed before it.
+func (l *LineLimit) Take(now time.Time) (dropped int, allowed bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if now.Sub(l.second) >= time.Second {
-		l.second, l.told = now, 0
+	if now.Sub(l.windowStart) >= time.Second {
+		l.windowStart, l.written = now, 0
 	}
-	if l.told >= maxLinesASecond {
-		l.silent++
+	if l.written >= maxLinesPerSecond {
+		l.suppressed++
 		return 0, false
 	}
-	l.told++
-	leftOut, l.silent = l.silent, 0
-	return leftOut, true
+	l.written++
+	dropped, l.suppressed = l.suppressed, 0
+	return dropped, true
 }
--- a/internal/logging/line_limit_test.go
+++ b/internal/logging/line_limit_test.go
@@ -7,19 +7,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLinesOfOneKindAreBounded(t *testing.T) {
-	var bounded LineLimit
+func TestLinesOfOneKindAreRateLimited(t *testing.T) {
+	var limit LineLimit
 	start := time.Unix(1000, 0)
-	for range maxLinesASecond {
-		leftOut, tells := bounded.Take(start)
-		require.True(t, tells)
-		require.Zero(t, leftOut)
+	for range maxLinesPerSecond {
+		dropped, allowed := limit.Take(start)
+		require.True(t, allowed)
+		require.Zero(t, dropped)
 	}
 	for range 7 {
-		_, tells := bounded.Take(start.Add(time.Second - 1))
-		require.False(t, tells)
+		_, allowed := limit.Take(start.Add(time.Second - 1))
+		require.False(t, allowed)
 	}
-	leftOut, tells := bounded.Take(start.Add(time.Second))
-	require.True(t, tells)
-	require.Equal(t, 7, leftOut)
+	dropped, allowed := limit.Take(start.Add(time.Second))
+	require.True(t, allowed)
+	require.Equal(t, 7, dropped)
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging sets up the log of a process: one line of key=value pairs
-// per event, on standard error.
+// Package logging provides the logger of a process, which writes one line of
+// key=value pairs per event, and its output.
 package logging
 
 import (
@@ -22,7 +22,7 @@
 	FieldVerdict = "verdict"
 )
 
-// New returns a logger at a level (debug, info, warning or error).
+// New returns a logger with a minimum level (debug, info, warning or error).
 func New(output io.Writer, level string) (*logrus.Logger, error) {
 	parsed, err := logrus.ParseLevel(level)
 	if err != nil {
--- a/internal/logging/sink.go
+++ b/internal/logging/sink.go
@@ -13,32 +13,32 @@
 	"github.com/martenstage/martenstage/internal/ring"
 )
 
-// Bounds of a Sink.
+// Limits of a Sink.
 const (
-	sinkLines = 1024
-	// sinkBatch is how many lines are written at once.
-	sinkBatch     = 64
-	sinkCloseTime = 500 * time.Millisecond
+	sinkCapacity = 1024
+	// sinkBatchLines is the maximum number of lines per write.
+	sinkBatchLines   = 64
+	sinkCloseTimeout = 500 * time.Millisecond
 )
 
-// Sink is a writer for logs that never blocks its callers: lines wait in a
-// bounded ring for a goroutine that writes them. When the reader of the log does
-// not keep up, the newest lines are dropped, counted, and the count is told once
-// there is room again.
+// Sink is an io.Writer for logs that never blocks its callers: a goroutine writes
+// the lines, which are queued in a bounded ring. If the reader of the log does not
+// keep up, the newest lines are dropped, and their count is logged once the output
+// accepts lines again.
 type Sink struct {
-	output  io.Writer
-	lines   *ring.Ring[[]byte]
-	lost    atomic.Uint64
-	dropped prometheus.Counter
-	stop    chan struct{}
-	done    chan struct{}
-	once    sync.Once
+	output     io.Writer
+	lines      *ring.Ring[[]byte]
+	unreported atomic.Uint64
+	dropped    prometheus.Counter
+	stop       chan struct{}
+	done       chan struct{}
+	once       sync.Once
 }
 
-// NewSink starts a sink to an output.
+// NewSink starts a Sink that writes to an output.
 func NewSink(output io.Writer, registerer prometheus.Registerer) *Sink {
 	sink := &Sink{
-		output: output, lines: ring.New[[]byte](sinkLines), stop: make(chan struct{}), done: make(chan struct{}),
+		output: output, lines: ring.New[[]byte](sinkCapacity), stop: make(chan struct{}), done: make(chan struct{}),
 		dropped: promauto.With(registerer).NewCounter(prometheus.CounterOpts{
 			Name: "martenstage_log_dropped_lines_total", Help: "Log lines dropped because the log was not read.",
 		}),
@@ -47,21 +47,22 @@
 	return sink
 }
 
-// Write takes one line. It never blocks and never fails.
+// Write queues one line, or drops it if the queue is full. It never blocks and
+// never fails.
 func (s *Sink) Write(line []byte) (int, error) {
 	if !s.lines.TryPush(append([]byte(nil), line...)) {
-		s.lost.Add(1)
+		s.unreported.Add(1)
 		s.dropped.Inc()
 	}
 	return len(line), nil
 }
 
-// Close writes what waits, for a short time at the most.
+// Close writes the queued lines, waiting for at most sinkCloseTimeout.
 func (s *Sink) Close() {
 	s.once.Do(func() { close(s.stop) })
 	select {
 	case <-s.done:
-	case <-time.After(sinkCloseTime):
+	case <-time.After(sinkCloseTimeout):
 	}
 }
 
@@ -70,23 +71,23 @@
 	for {
 		select {
 		case line := <-s.lines.Items():
-			s.write(line)
+			s.writeBatch(line)
 		case <-s.stop:
 			for s.lines.Depth() > 0 {
-				s.write(<-s.lines.Items())
+				s.writeBatch(<-s.lines.Items())
 			}
 			return
 		}
 	}
 }
 
-// write writes a line and those that wait behind it.
-func (s *Sink) write(line []byte) {
-	for count := 1; count < sinkBatch && s.lines.Depth() > 0; count++ {
+// writeBatch writes a line together with lines queued after it.
+func (s *Sink) writeBatch(line []byte) {
+	for count := 1; count < sinkBatchLines && s.lines.Depth() > 0; count++ {
 		line = append(line, <-s.lines.Items()...)
 	}
-	if lost := s.lost.Swap(0); lost > 0 {
-		line = fmt.Appendf(line, "time=%s level=warning msg=log_lines_dropped count=%d\n", time.Now().Format(time.RFC3339Nano), lost)
+	if unreported := s.unreported.Swap(0); unreported > 0 {
+		line = fmt.Appendf(line, "time=%s level=warning msg=log_lines_dropped count=%d\n", time.Now().Format(time.RFC3339Nano), unreported)
 	}
 	_, _ = s.output.Write(line)
 }
