--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics creates the Prometheus registry of a process and serves it.
+// Package metrics creates and serves the Prometheus registry of a process.
 package metrics
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/martenstage/martenstage/internal/buildinfo"
 )
 
-// NewRegistry returns a registry with the collectors that every role has.
+// NewRegistry returns a registry with the collectors common to all roles.
 func NewRegistry(role string) *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	build := prometheus.NewGauge(prometheus.GaugeOpts{
@@ -25,7 +25,7 @@
 	return registry
 }
 
-// Handler serves the metrics of a registry.
+// Handler returns an HTTP handler that serves the metrics of a registry.
 func Handler(registry *prometheus.Registry) http.Handler {
 	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{Registry: registry})
 }
