--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,5 +1,5 @@
-// Package wait holds the waits that end early with a context, and the notices
-// that end other goroutines' waits.
+// Package wait provides waits that a context can cancel, and notifications for
+// waiting goroutines.
 package wait
 
 import (
@@ -9,8 +9,9 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// For waits for a duration and reports whether it lasted to its end; false
-// means that the context ended before. A duration of zero or less needs no wait.
+// For waits for a duration and reports whether it elapsed; false means that the
+// context was canceled first. For a duration of zero or less it does not wait and
+// reports whether the context is still valid.
 func For(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
@@ -25,11 +26,12 @@
 	}
 }
 
-// Until waits for a moment and reports whether it came; false means that the
-// context ended before.
+// Until waits until a time on the clock of package steadyclock and reports whether
+// it was reached; false means that the context was canceled first.
 func Until(ctx context.Context, moment time.Time) bool { return For(ctx, steadyclock.Until(moment)) }
 
-// Notify leaves a notice in a channel of capacity one, unless one is there.
+// Notify sends a notification to a channel of capacity one without blocking. If
+// one is already pending, it does nothing.
 func Notify(notice chan<- struct{}) {
 	select {
 	case notice <- struct{}{}:
