--- a/internal/exitcode/exitcode.go
+++ b/internal/exitcode/exitcode.go
@@ -1,4 +1,4 @@
-// Package exitcode holds the exit codes of the commands, documented in
+// Package exitcode defines the exit codes of the commands, documented in
 // docs/operate/exit-codes.md.
 package exitcode
 
@@ -7,15 +7,15 @@
 // Exit codes.
 const (
 	OK = 0
-	// Failure is any failure without a code of its own, and a failed check.
+	// Failure is any failure without a specific code, including a failed check.
 	Failure = 1
-	// Usage is a wrong command line.
+	// Usage is an invalid command line.
 	Usage = 2
-	// Settings is a settings file or value that was refused.
+	// Settings is an invalid settings file or value.
 	Settings = 3
-	// Unavailable means that no control server, or no quorum, answered.
+	// Unavailable means that no control server or no quorum responded.
 	Unavailable = 4
-	// Conflict means that another change won the expected revision.
+	// Conflict means that a concurrent change took the expected revision.
 	Conflict = 5
 	// DataFolder is a data folder that is in use, damaged or not writable.
 	DataFolder = 6
@@ -29,7 +29,7 @@
 // Unwrap returns the error without its code.
 func (e *codedError) Unwrap() error { return e.error }
 
-// With gives an error the exit code of the process that ends with it.
+// With attaches to an error the exit code for a process that fails with it.
 func With(code int, err error) error {
 	if err == nil {
 		return nil
@@ -37,7 +37,8 @@
 	return &codedError{error: err, code: code}
 }
 
-// Of returns the exit code for the error that ended a command.
+// Of returns the exit code for the error of a command: OK for none and Failure
+// for an error without a code.
 func Of(err error) int {
 	if err == nil {
 		return OK
--- a/internal/exitcode/exitcode_test.go
+++ b/internal/exitcode/exitcode_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every code is on the operators' page under its name.
+// TestCodesAreDocumented checks that the operator documentation lists each code
+// with its name.
 func TestCodesAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operate/exit-codes.md")
 	require.NoError(t, err)
