--- a/internal/buildinfo/buildinfo.go
+++ b/internal/buildinfo/buildinfo.go
@@ -1,4 +1,4 @@
-// Package buildinfo tells which build of the program runs.
+// Package buildinfo identifies the build of the running program.
 package buildinfo
 
 import "runtime/debug"
@@ -6,7 +6,8 @@
 // Version is set by the linker for releases.
 var Version = "development"
 
-// String returns the version, with the revision when the build recorded one.
+// String returns the version, followed by the VCS revision if the build recorded
+// one.
 func String() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
