--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,6 @@
-// Package cli runs a program of sub-commands on go-flags: help, version,
-// suggestions for mistyped names, and one exit code per cause of failure.
+// Package cli runs programs with sub-commands on top of go-flags. It provides
+// help, version, suggestions for mistyped names, and exit codes by cause of
+// failure.
 package cli
 
 import (
@@ -20,14 +21,14 @@
 	Name  string
 	Short string
 	Long  string
-	// Examples are command lines that the help ends with.
+	// Examples are command lines shown at the end of the help text.
 	Examples []string
 	Data     any
 	Children []Command
 }
 
 // commandUser is implemented by options structs that need their own
-// flags.Command, to tell given options from defaults.
+// flags.Command, to distinguish options set on the command line from defaults.
 type commandUser interface{ UseCommand(*flags.Command) }
 
 // Group is the options struct of a command that only has children.
@@ -37,28 +38,29 @@
 	Version func() `long:"version" description:"Print the version and exit"`
 }
 
-// Run parses the arguments, executes the chosen command and returns the exit
+// Run parses the arguments, executes the selected command and returns the exit
 // code of the process.
 func Run(program, summary string, commands []Command, arguments []string) int {
 	parser, err := newParser(program, summary, commands)
 	if err != nil {
-		return report(program, err)
+		return reportError(program, err)
 	}
 	parsed := false
 	parser.CommandHandler = func(command flags.Commander, rest []string) error {
 		parsed = true
-		return execute(command, rest)
+		return executeCommand(command, rest)
 	}
 	_, err = parser.ParseArgs(arguments)
 	var parseError *flags.Error
 	if err != nil && !parsed && !errors.As(err, &parseError) {
-		// The library hands errors of positional arguments on as they are.
+		// go-flags returns errors of positional arguments without wrapping them
+		// in a flags.Error.
 		err = exitcode.With(exitcode.Usage, errors.Wrap(err, "an argument can't be read"))
 	}
-	return report(program, explain(parser, commands, err))
+	return reportError(program, addHints(parser, commands, err))
 }
 
-// Parse parses the arguments and executes nothing.
+// Parse parses the arguments without executing a command.
 func Parse(program string, commands []Command, arguments []string) error {
 	parser, err := newParser(program, "", commands)
 	if err != nil {
@@ -80,16 +82,16 @@
 		return nil, err
 	}
 	for _, command := range commands {
-		if err := add(parser.Command, command); err != nil {
+		if err := addCommand(parser.Command, command); err != nil {
 			return nil, err
 		}
 	}
 	return parser, nil
 }
 
-// execute runs the chosen command. Arguments that it does not take are refused,
-// because one that is ignored leaves its reader with a wrong belief.
-func execute(command flags.Commander, arguments []string) error {
+// executeCommand runs the selected command. It rejects extra arguments, because
+// a user would assume that an ignored argument had an effect.
+func executeCommand(command flags.Commander, arguments []string) error {
 	if command == nil {
 		return nil
 	}
@@ -99,7 +101,7 @@
 	return command.Execute(arguments)
 }
 
-func add(parent *flags.Command, command Command) error {
+func addCommand(parent *flags.Command, command Command) error {
 	data := command.Data
 	if data == nil {
 		data = &Group{}
@@ -112,15 +114,15 @@
 		user.UseCommand(added)
 	}
 	for _, child := range command.Children {
-		if err := add(added, child); err != nil {
+		if err := addCommand(added, child); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// report prints the error that ended a command and returns its exit code.
-func report(program string, err error) int {
+// reportError prints the error of a command and returns its exit code.
+func reportError(program string, err error) int {
 	if err == nil {
 		return exitcode.OK
 	}
--- a/internal/cli/completion.go
+++ b/internal/cli/completion.go
@@ -9,9 +9,9 @@
 	"github.com/martenstage/martenstage/internal/exitcode"
 )
 
-// Completion returns the command that prints the completion scripts of a
-// program. The scripts ask the program itself, through the parser's
-// completion, so they stay right when commands change.
+// Completion returns the command that prints the shell completion scripts of a
+// program. The scripts run the program itself to get completions from its parser,
+// so they stay correct when commands change.
 func Completion(program string) Command {
 	return Command{
 		Name: "completion", Short: "Print the completion script of a shell",
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// completionScripts by shell. Where the program has nothing to offer, as for
-// file names, bash and zsh complete files; fish always adds files itself.
+// completionScripts has the completion script of each shell. If the program
+// returns no completions, bash and zsh complete file names; fish always adds them.
 var completionScripts = map[string]string{
 	"bash": `# bash completion of PROGRAM
 _PROGRAM() {
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -12,29 +12,30 @@
 	"github.com/martenstage/martenstage/internal/nearest"
 )
 
-// explain adds to the parser's messages what helps next: examples to a help
-// text, the nearest name to an unknown option, and where the help is.
-func explain(parser *flags.Parser, commands []Command, err error) error {
+// addHints adds hints to the messages of the parser: examples to help texts, the
+// closest name to an unknown option, the environment variables of missing options
+// and how to get help.
+func addHints(parser *flags.Parser, commands []Command, err error) error {
 	var parseError *flags.Error
 	if !errors.As(err, &parseError) {
 		return err
 	}
-	names := activeNames(parser)
+	names := activeCommandPath(parser)
 	if parseError.Type == flags.ErrHelp {
-		return &flags.Error{Type: parseError.Type, Message: parseError.Message + examplesText(find(commands, names[1:]))}
+		return &flags.Error{Type: parseError.Type, Message: parseError.Message + examplesText(findCommand(commands, names[1:]))}
 	}
 	message := parseError.Message
 	switch parseError.Type {
 	case flags.ErrUnknownFlag:
-		message += suggestedOption(parser, message)
+		message += optionHint(parser, message)
 	case flags.ErrRequired:
 		message += environmentHint(parser, message)
 	}
 	return &flags.Error{Type: parseError.Type, Message: fmt.Sprintf("%s\nRun '%s --help' for usage.", message, strings.Join(names, " "))}
 }
 
-// activeNames returns the program and the commands that were chosen.
-func activeNames(parser *flags.Parser) []string {
+// activeCommandPath returns the names of the program and of the selected commands.
+func activeCommandPath(parser *flags.Parser) []string {
 	names := []string{parser.Name}
 	for command := parser.Active; command != nil; command = command.Active {
 		names = append(names, command.Name)
@@ -42,8 +43,8 @@
 	return names
 }
 
-// find returns the command at a path of names; nil for none.
-func find(commands []Command, names []string) *Command {
+// findCommand returns the command at a path of names, or nil if there is none.
+func findCommand(commands []Command, names []string) *Command {
 	if len(names) == 0 {
 		return nil
 	}
@@ -54,7 +55,7 @@
 	case len(names) == 1:
 		return &command
 	default:
-		return find(command.Children, names[1:])
+		return findCommand(command.Children, names[1:])
 	}
 }
 
@@ -65,17 +66,18 @@
 	return "\nExamples:\n  " + strings.Join(command.Examples, "\n  ") + "\n"
 }
 
-// unknownOption finds the name in the parser's message.
-var unknownOption = regexp.MustCompile("unknown flag `([^']+)'")
+// unknownOptionPattern matches the option's name in the parser's message.
+var unknownOptionPattern = regexp.MustCompile("unknown flag `([^']+)'")
 
-// suggestedOption returns a hint at the option nearest to an unknown one, or "".
-func suggestedOption(parser *flags.Parser, message string) string {
-	match := unknownOption.FindStringSubmatch(message)
+// optionHint returns a hint with the option closest to an unknown one, or "" if
+// none is close.
+func optionHint(parser *flags.Parser, message string) string {
+	match := unknownOptionPattern.FindStringSubmatch(message)
 	if match == nil {
 		return ""
 	}
 	var known []string
-	eachOption(parser, func(option *flags.Option) { known = append(known, option.LongName) })
+	visitOptions(parser, func(option *flags.Option) { known = append(known, option.LongName) })
 	name, found := nearest.Name(match[1], known)
 	if !found {
 		return ""
@@ -83,10 +85,10 @@
 	return fmt.Sprintf(", did you mean `--%s'?", name)
 }
 
-// environmentHint names the variables that required options are also read from.
+// environmentHint lists the environment variables that set the missing options.
 func environmentHint(parser *flags.Parser, message string) string {
 	hint := ""
-	eachOption(parser, func(option *flags.Option) {
+	visitOptions(parser, func(option *flags.Option) {
 		if option.EnvDefaultKey != "" && strings.Contains(message, "--"+option.LongName+"'") {
 			hint += fmt.Sprintf("; --%s is also read from the environment variable %s", option.LongName, option.EnvDefaultKey)
 		}
@@ -94,10 +96,11 @@
 	return hint
 }
 
-// eachOption visits the options of the program and of the chosen commands.
-func eachOption(parser *flags.Parser, visit func(*flags.Option)) {
+// visitOptions calls visit for each option of the program and the selected
+// commands.
+func visitOptions(parser *flags.Parser, visit func(*flags.Option)) {
 	for command := parser.Command; command != nil; command = command.Active {
-		eachGroup(command.Group, func(group *flags.Group) {
+		visitGroups(command.Group, func(group *flags.Group) {
 			for _, option := range group.Options() {
 				visit(option)
 			}
@@ -105,9 +108,9 @@
 	}
 }
 
-func eachGroup(group *flags.Group, visit func(*flags.Group)) {
+func visitGroups(group *flags.Group, visit func(*flags.Group)) {
 	visit(group)
-	for _, inner := range group.Groups() {
-		eachGroup(inner, visit)
+	for _, child := range group.Groups() {
+		visitGroups(child, visit)
 	}
 }
--- a/internal/cli/terminal.go
+++ b/internal/cli/terminal.go
@@ -9,19 +9,19 @@
 	"golang.org/x/term"
 )
 
-// IsTerminal reports whether a file is a terminal, so that a person reads it.
+// IsTerminal reports whether a file is a terminal.
 func IsTerminal(file *os.File) bool { return term.IsTerminal(int(file.Fd())) }
 
-// Progress shows how long work has gone on for, on one line of a terminal that
-// is written over. It writes nothing into a pipe or a file. It is for one
-// goroutine.
+// Progress shows a status text with the elapsed time on one line of a terminal,
+// which it overwrites on each update. It writes nothing to a pipe or a file. It is
+// not safe for concurrent use.
 type Progress struct {
 	output  io.Writer
 	started time.Time
 	shown   bool
 }
 
-// NewProgress returns the progress of work that begins now.
+// NewProgress returns a Progress whose elapsed time starts now.
 func NewProgress(file *os.File) *Progress {
 	progress := &Progress{started: time.Now()}
 	if IsTerminal(file) {
@@ -33,7 +33,7 @@
 // eraseLine returns to the start of the line and erases it (ECMA-48 EL).
 const eraseLine = "\r\x1b[2K"
 
-// Show writes what the work is waiting for over the last line.
+// Show replaces the line by a text and the elapsed time.
 func (p *Progress) Show(text string) {
 	if p.output == nil {
 		return
@@ -50,11 +50,11 @@
 	}
 }
 
-// progressInterval is the pace at which Working writes over its line.
+// progressInterval is how often Working updates its line.
 const progressInterval = time.Second
 
-// Working shows on a terminal, after a second and until the returned function
-// is called, what is being worked on and for how long already.
+// Working shows a text and the elapsed time on a terminal, from one second after
+// the call until the returned function is called.
 func Working(file *os.File, text string) (done func()) {
 	progress := NewProgress(file)
 	stop, stopped := make(chan struct{}), make(chan struct{})
--- a/internal/cli/terminal_test.go
+++ b/internal/cli/terminal_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestProgressIsQuietInAPipe checks that nothing is written where nobody looks.
-func TestProgressIsQuietInAPipe(t *testing.T) {
+// TestProgressWritesNothingToPipe checks that no progress is written if the output
+// is not a terminal.
+func TestProgressWritesNothingToPipe(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	require.NoError(t, err)
 	require.False(t, IsTerminal(writer))
