--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -23,8 +23,8 @@
 	// CauseOwnDelay: the router has logged no missing part, because all arrived in time or
 	// the request has none.
 	CauseOwnDelay = "own_delay"
-	// CauseRouterGone: another router failed while it handled a slice of the request.
-	CauseRouterGone = "router_gone"
+	// CauseRouterFailed: another router failed while it handled a slice of the request.
+	CauseRouterFailed = "router_gone"
 )
 
 // Report is the losses found in a set of logs.
@@ -32,15 +32,15 @@
 	// Requests is the number of requests in the logs; ordinary answers are sampled.
 	Requests int `json:"requests"`
 	// Lost is the total loss, in requests.
-	Lost     float64            `json:"lost"`
-	Causes   map[string]float64 `json:"causes"`
-	Seconds  []Second           `json:"seconds"`
-	Routes   []Named            `json:"routes"`
-	Shards   []Named            `json:"shards"`
-	Servers  []Named            `json:"servers"`
-	Starts   int                `json:"router_starts"`
-	Doubts   int                `json:"routers_doubted"`
-	PassedBy int                `json:"lines_passed_over"`
+	Lost       float64            `json:"lost"`
+	Causes     map[string]float64 `json:"causes"`
+	Seconds    []Second           `json:"seconds"`
+	Routes     []Group            `json:"routes"`
+	Shards     []Group            `json:"shards"`
+	Servers    []Group            `json:"servers"`
+	Starts     int                `json:"router_starts"`
+	Suspicions int                `json:"routers_doubted"`
+	PassedBy   int                `json:"lines_passed_over"`
 }
 
 // Second is the loss of the requests that ended within one second.
@@ -50,8 +50,8 @@
 	Causes map[string]float64 `json:"causes"`
 }
 
-// Named is the loss of one route, shard or server.
-type Named struct {
+// Group is the loss of one route, shard or server.
+type Group struct {
 	Name   string             `json:"name"`
 	Lost   float64            `json:"lost"`
 	Causes map[string]float64 `json:"causes"`
@@ -65,17 +65,17 @@
 	parts   map[string][]missingPart
 	totals  Report
 	seconds map[time.Time]*Second
-	routes  map[string]*Named
-	shards  map[string]*Named
-	servers map[string]*Named
+	routes  map[string]*Group
+	shards  map[string]*Group
+	servers map[string]*Group
 }
 
 // Account computes the losses recorded in log lines. The lines of a request may come
 // from several routers and in any order.
 func Account(lines []trace.Line) Report {
 	result := &accumulator{
-		parts: make(map[string][]missingPart), seconds: make(map[time.Time]*Second), routes: make(map[string]*Named),
-		shards: make(map[string]*Named), servers: make(map[string]*Named),
+		parts: make(map[string][]missingPart), seconds: make(map[time.Time]*Second), routes: make(map[string]*Group),
+		shards: make(map[string]*Group), servers: make(map[string]*Group),
 	}
 	result.totals.Causes = make(map[string]float64)
 	for _, line := range lines {
@@ -83,7 +83,7 @@
 		case "parts_overdue":
 			result.parts[line.Fields["request"]] = append(result.parts[line.Fields["request"]], parseParts(line.Fields["parts"])...)
 		case "router_doubted":
-			result.totals.Doubts++
+			result.totals.Suspicions++
 		case "started":
 			if line.Fields["role"] == "gateway" {
 				result.totals.Starts++
@@ -163,7 +163,7 @@
 	case line.Fields["outcome"] == "refused":
 		return map[string]float64{CauseRefused: 1}, nil
 	case fallbacks != "" && fallbacks != "0":
-		return map[string]float64{CauseRouterGone: 1}, nil
+		return map[string]float64{CauseRouterFailed: 1}, nil
 	case len(parts) == 0:
 		return map[string]float64{CauseOwnDelay: 1}, nil
 	}
@@ -184,16 +184,16 @@
 	return found
 }
 
-func entry(entries map[string]*Named, name string) *Named {
+func entry(entries map[string]*Group, name string) *Group {
 	found, exists := entries[name]
 	if !exists {
-		found = &Named{Name: name, Causes: make(map[string]float64)}
+		found = &Group{Name: name, Causes: make(map[string]float64)}
 		entries[name] = found
 	}
 	return found
 }
 
-func addLoss(table map[string]*Named, name, cause string, lost float64) {
+func addLoss(table map[string]*Group, name, cause string, lost float64) {
 	group := entry(table, name)
 	group.Lost += lost
 	group.Causes[cause] += lost
@@ -208,11 +208,11 @@
 	return a.totals
 }
 
-func sortedByLoss(entries map[string]*Named) []Named {
-	var list []Named
+func sortedByLoss(entries map[string]*Group) []Group {
+	var list []Group
 	for _, each := range entries {
 		list = append(list, *each)
 	}
-	slices.SortFunc(list, func(a, b Named) int { return cmp.Or(cmp.Compare(b.Lost, a.Lost), cmp.Compare(a.Name, b.Name)) })
+	slices.SortFunc(list, func(a, b Group) int { return cmp.Or(cmp.Compare(b.Lost, a.Lost), cmp.Compare(a.Name, b.Name)) })
 	return list
 }
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -42,7 +42,7 @@
 	require.Equal(t, "i-9", report.Servers[0].Name)
 	require.InDelta(t, 0.5, report.Servers[0].Lost, 1e-9)
 	require.Equal(t, 1, report.Starts)
-	require.Equal(t, 1, report.Doubts)
+	require.Equal(t, 1, report.Suspicions)
 }
 
 func TestSharesOfCausesAddUpToTheLoss(t *testing.T) {
