--- a/cmd/martenstage/losses.go
+++ b/cmd/martenstage/losses.go
@@ -21,8 +21,8 @@
 	if err != nil {
 		return err
 	}
-	report := losses.Account(lines)
-	report.PassedBy = passedOver
+	report := losses.Analyze(lines)
+	report.SkippedLines = passedOver
 	if !c.JSON {
 		return report.WriteText(os.Stdout)
 	}
--- a/cmd/martenstage/soak_servers_test.go
+++ b/cmd/martenstage/soak_servers_test.go
@@ -104,7 +104,7 @@
 func (r *soakServer) behave(trouble soakTrouble) { r.trouble.Store(&trouble) }
 
 // start names one start of the server in the records.
-func (r *soakServer) start() string { return registry.LifeID(r.id, r.born) }
+func (r *soakServer) start() string { return registry.IncarnationID(r.id, r.born) }
 
 func (r *soakServer) stop() {
 	r.cancel()
--- a/internal/backend/control.go
+++ b/internal/backend/control.go
@@ -27,7 +27,7 @@
 		return observed, false
 	}
 	if err != nil || json.Unmarshal(body, &observed.Health) != nil {
-		return query.HealthObserved{Address: address, Silent: isTimeout(err)}, true
+		return query.HealthObserved{Address: address, TimedOut: isTimeout(err)}, true
 	}
 	observed.Reachable = true
 	return observed, true
--- a/internal/backend/probe_test.go
+++ b/internal/backend/probe_test.go
@@ -58,6 +58,6 @@
 		cancel()
 		require.True(t, probed, name)
 		require.False(t, observed.Reachable, name)
-		require.Equal(t, test.silent, observed.Silent, name)
+		require.Equal(t, test.silent, observed.TimedOut, name)
 	}
 }
--- a/internal/backendapi/backendapi.go
+++ b/internal/backendapi/backendapi.go
@@ -104,9 +104,9 @@
 	Holdings string `json:"holdings,omitempty"`
 }
 
-// HoldingsMark computes a fingerprint of the shards that back ends written in Go
+// HoldingsFingerprint computes a fingerprint of the shards that back ends written in Go
 // may use as Health.Holdings.
-func HoldingsMark(shards []ShardState) string {
+func HoldingsFingerprint(shards []ShardState) string {
 	const hexadecimal = 16
 	var text []byte
 	for _, shard := range shards {
--- a/internal/callers/slow.go
+++ b/internal/callers/slow.go
@@ -31,7 +31,7 @@
 	if minLimit := steadyclock.Now().Add(minBodyTimeout); deadlineLimit.Before(minLimit) {
 		deadlineLimit = minLimit
 	}
-	_ = http.NewResponseController(writer).SetReadDeadline(steadyclock.Runtime(deadlineLimit))
+	_ = http.NewResponseController(writer).SetReadDeadline(steadyclock.RuntimeDeadline(deadlineLimit))
 }
 
 // clearBodyDeadline removes the read deadline, so that the server can continue
--- a/internal/controlclient/source.go
+++ b/internal/controlclient/source.go
@@ -157,7 +157,7 @@
 }
 
 // Leave implements router.ConfigSource.
-func (s *Source) Leave(ctx context.Context) error { return s.follower.Deregister(ctx) }
+func (s *Source) Leave(ctx context.Context) error { return s.follower.Release(ctx) }
 
 // Describe implements router.ConfigSource.
 func (s *Source) Describe() string { return "control through " + strings.Join(s.upstreams, ", ") }
--- a/internal/directory/departing.go
+++ b/internal/directory/departing.go
@@ -22,7 +22,7 @@
 	}
 	n.recordHeartbeat(instance)
 	if instance.State == registry.Leaving {
-		return n.Depart(ctx, registry.NameOf(instance.ID), instance.Born)
+		return n.Depart(ctx, registry.NameOf(instance.ID), instance.StartedAt)
 	}
 	return nil
 }
@@ -31,7 +31,7 @@
 // applies to the starts known before it, so before accepting an unknown start of a server that
 // keeps its name, this node's state must include every acknowledged departure.
 func (n *Node) mayRegister(ctx context.Context, instance registry.Instance) bool {
-	if instance.Born == 0 {
+	if instance.StartedAt == 0 {
 		return true // Its id is never reused.
 	}
 	n.mutex.Lock()
@@ -69,7 +69,7 @@
 		// A name that is itself an id is never reused.
 		return message, state.hasDeparted(name) && len(starts) == 1 && starts[0] == name
 	}
-	message = departMessage{ID: registry.LifeID(name, startTime), Start: &departedStart{Name: name, StartTime: startTime}}
+	message = departMessage{ID: registry.IncarnationID(name, startTime), Start: &departedStart{Name: name, StartTime: startTime}}
 	message.Starts = n.registry.Superseded(message.ID)
 	if !lo.Contains(starts, message.ID) {
 		// The server's heartbeats, if any, may not have named a start.
--- a/internal/directory/departures_test.go
+++ b/internal/directory/departures_test.go
@@ -29,7 +29,7 @@
 // heartbeatOf returns a heartbeat of one start of a server that keeps its name.
 func heartbeatOf(name string, startTime int64, state registry.State, sequence uint64) registry.Instance {
 	heartbeat := instance(name, "s", state, sequence)
-	heartbeat.ID, heartbeat.Born = registry.LifeID(name, startTime), startTime
+	heartbeat.ID, heartbeat.StartedAt = registry.IncarnationID(name, startTime), startTime
 	return heartbeat
 }
 
--- a/internal/directory/group.go
+++ b/internal/directory/group.go
@@ -61,7 +61,7 @@
 
 func (n *Node) recordMisdirected(refused *addressee.MisdirectedError) {
 	n.metrics.misdirected.Inc()
-	if suppressed, allowed := n.misdirectedLogLimit.Take(steadyclock.Now()); allowed {
+	if suppressed, allowed := n.misdirectedLogLimit.Allow(steadyclock.Now()); allowed {
 		n.logger.WithFields(logrus.Fields{
 			"expected_group": refused.Expected.Group, "found_group": refused.Found.Group, "left_out": suppressed,
 		}).Warn("call_misdirected")
--- a/internal/directory/sharing.go
+++ b/internal/directory/sharing.go
@@ -43,7 +43,7 @@
 // logReplaced logs which instances were replaced by others. The caller holds the mutex.
 func (n *Node) logReplaced() {
 	for _, replaced := range n.registry.TakeReplacements() {
-		suppressed, allowed := n.replacedLogLimit.Take(steadyclock.Now())
+		suppressed, allowed := n.replacedLogLimit.Allow(steadyclock.Now())
 		if !allowed {
 			continue
 		}
--- a/internal/exchange/attempt.go
+++ b/internal/exchange/attempt.go
@@ -76,7 +76,7 @@
 		a.pool.put(a.server.ID, conn)
 		return scatter.Outcome{Failure: scatter.Aborted, Verdict: verdict.NotRun}
 	}
-	_ = conn.SetDeadline(steadyclock.Runtime(a.deadline.Add(replyGrace)))
+	_ = conn.SetDeadline(steadyclock.RuntimeDeadline(a.deadline.Add(replyGrace)))
 	first := !conn.hasReplied
 	written := a.write(conn)
 	outcome, reusable := a.read(conn)
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -231,10 +231,10 @@
 	return f.deregistered
 }
 
-// Deregister deregisters the node: it ends the lease and releases it at the
+// Release deregisters the node: it ends the lease and releases it at the
 // upstream, so that no server waits for its expiry. The node must have stopped
-// admitting work before it calls Deregister.
-func (f *Follower) Deregister(ctx context.Context) error {
+// admitting work before it calls Release.
+func (f *Follower) Release(ctx context.Context) error {
 	f.mutex.Lock()
 	f.deregistered = true
 	f.holder.Release()
--- a/internal/gateway/departing_site_test.go
+++ b/internal/gateway/departing_site_test.go
@@ -233,7 +233,7 @@
 // serve is addServer with a given listener.
 func (s *departingSite) serve(listener net.Listener, name string, startTime int64, seed uint64) *departingServer {
 	added := &departingServer{instance: registry.Instance{
-		ID: registry.LifeID(name, startTime), Born: startTime, Service: "s", Address: listener.Addr().String(), Slots: 8, State: registry.Ready,
+		ID: registry.IncarnationID(name, startTime), StartedAt: startTime, Service: "s", Address: listener.Addr().String(), Slots: 8, State: registry.Ready,
 	}}
 	added.server = &http.Server{Handler: added, ConnState: added.countConnection}
 	go func() { _ = added.server.Serve(listener) }()
--- a/internal/gateway/departures_property_test.go
+++ b/internal/gateway/departures_property_test.go
@@ -122,8 +122,8 @@
 	}
 	for number, server := range leaving {
 		server.heartbeatsStopped.Store(true)
-		if server.instance.Born > 0 {
-			next := s.addServer(registry.NameOf(server.instance.ID), server.instance.Born-1, seed+uint64(number))
+		if server.instance.StartedAt > 0 {
+			next := s.addServer(registry.NameOf(server.instance.ID), server.instance.StartedAt-1, seed+uint64(number))
 			s.eventually("the next start of a server gets no requests", func() bool { return next.arrivals.Load() > 0 })
 		}
 	}
@@ -136,7 +136,7 @@
 		return
 	}
 	server.heartbeatsStopped.Store(method == deregistersThenSilent)
-	startTime := lo.Ternary(random.IntN(2) == 0, server.instance.Born, 0)
+	startTime := lo.Ternary(random.IntN(2) == 0, server.instance.StartedAt, 0)
 	s.deregister(server, startTime, random)
 }
 
--- a/internal/gateway/evidence.go
+++ b/internal/gateway/evidence.go
@@ -68,7 +68,7 @@
 // logBrokenAttempt logs that the connection of an attempt ended before its answer was
 // complete, so that the log shows when a request has been sent twice.
 func (g *Gateway) logBrokenAttempt(attempt endedAttempt) {
-	omitted, allowed := g.brokenAttemptLines.Take(steadyclock.Now())
+	omitted, allowed := g.brokenAttemptLines.Allow(steadyclock.Now())
 	if !allowed {
 		return
 	}
@@ -93,7 +93,7 @@
 	evidence := attempt.submitted.evidence
 	g.metrics.serversEnded.Inc()
 	fingerprint := attempt.submitted.request.fingerprint()
-	if omitted, allowed := g.crashLines.Take(steadyclock.Now()); allowed {
+	if omitted, allowed := g.crashLines.Allow(steadyclock.Now()); allowed {
 		g.logger.WithFields(logrus.Fields{
 			"fingerprint": fingerprint.Short(), "request": attempt.submitted.request.ID, "route": evidence.route, "caller": evidence.caller,
 			"server": attempt.server.ID, "service": attempt.server.Service, "took": attempt.took, "trial": evidence.trial != nil,
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -38,17 +38,17 @@
 	if len(header["X-Key"]) == 1 {
 		return header["X-Key"][0], gateway.CredentialsKey
 	}
-	return "", gateway.CredentialsUnclear
+	return "", gateway.CredentialsAmbiguous
 }
 func (dialect) Identify(header message.Header, tenant string) {
 	delete(header, "X-Key")
 	header["X-Who"] = []string{tenant}
 }
-func (dialect) Gathered(header http.Header, stamps []string, missing int) {
+func (dialect) SetGathered(header http.Header, stamps []string, missing int) {
 	header.Set("X-Stamps", strings.Join(stamps, ","))
 	header.Set("X-Missing", fmt.Sprint(missing))
 }
-func (dialect) ComeBack(header http.Header, after time.Duration) {
+func (dialect) SetRetryAfter(header http.Header, after time.Duration) {
 	header.Set("Retry-After", after.String())
 }
 func (dialect) Outgoing(header message.Header, remaining time.Duration, instance string) {
--- a/internal/gateway/gather.go
+++ b/internal/gateway/gather.go
@@ -186,7 +186,7 @@
 func (g *gatherState) answer() {
 	missing := g.collection.Total - g.collection.Received
 	header := g.writer.Header()
-	g.gateway.config.Dialect.Gathered(header, g.stamps, missing)
+	g.gateway.config.Dialect.SetGathered(header, g.stamps, missing)
 	header.Set("Content-Type", "application/octet-stream")
 	g.write(http.StatusOK, greatestRecords(g.records, g.route.TopRecords))
 	if late := steadyclock.Since(g.collection.Cutoff); late > 0 && g.collection.DueAtCutoff() {
--- a/internal/gateway/group.go
+++ b/internal/gateway/group.go
@@ -65,7 +65,7 @@
 
 func (g *Gateway) logMisdirected(direction string, call *addressee.MisdirectedError) {
 	g.metrics.misdirected.WithLabelValues(direction).Inc()
-	omitted, allowed := g.misdirectedLines.Take(steadyclock.Now())
+	omitted, allowed := g.misdirectedLines.Allow(steadyclock.Now())
 	if !allowed {
 		return
 	}
--- a/internal/gateway/identifying.go
+++ b/internal/gateway/identifying.go
@@ -30,8 +30,8 @@
 const (
 	CredentialsNone Credentials = iota
 	CredentialsKey
-	// CredentialsUnclear: there is more than one key, or its format is not known.
-	CredentialsUnclear
+	// CredentialsAmbiguous: there is more than one key, or its format is not known.
+	CredentialsAmbiguous
 )
 
 // confirmation tells when the active document was last known to be the newest. The zero value
--- a/internal/gateway/isolating_test.go
+++ b/internal/gateway/isolating_test.go
@@ -25,7 +25,7 @@
 
 func (plainDialect) RequestID(http.Header) string                { return "r" }
 func (plainDialect) Remaining(http.Header) (time.Duration, bool) { return time.Second, true }
-func (plainDialect) ComeBack(header http.Header, after time.Duration) {
+func (plainDialect) SetRetryAfter(header http.Header, after time.Duration) {
 	header.Set("Retry-After", after.String())
 }
 
--- a/internal/gateway/options.go
+++ b/internal/gateway/options.go
@@ -19,15 +19,15 @@
 	RequestID(header http.Header) string
 	// Remaining returns how long the client still waits.
 	Remaining(header http.Header) (time.Duration, bool)
-	// Gathered marks a response that was assembled from parts.
-	Gathered(header http.Header, stamps []string, missing int)
+	// SetGathered marks a response that was assembled from parts.
+	SetGathered(header http.Header, stamps []string, missing int)
 	// Key returns the API key of a request.
 	Key(header http.Header) (string, Credentials)
 	// Identify removes the client's credentials and any tenant header it sent from the headers
 	// for servers, and adds the tenant unless it is empty.
 	Identify(header message.Header, tenant string)
-	// ComeBack tells a client when to retry a request that has not run.
-	ComeBack(header http.Header, after time.Duration)
+	// SetRetryAfter tells a client when to retry a request that has not run.
+	SetRetryAfter(header http.Header, after time.Duration)
 }
 
 // Config configures a router.
--- a/internal/gateway/request_log.go
+++ b/internal/gateway/request_log.go
@@ -39,13 +39,13 @@
 		return
 	}
 	if outcome == outcomeQuarantined {
-		if _, allowed := s.gateway.quarantineRefusalLines.Take(steadyclock.Now()); !allowed {
+		if _, allowed := s.gateway.quarantineRefusalLines.Allow(steadyclock.Now()); !allowed {
 			return
 		}
 	}
 	if isTenantRefusal(result.Reason) {
 		s.gateway.metrics.tenantRefusals.WithLabelValues(string(result.Reason)).Inc()
-		if _, allowed := s.gateway.tenantRefusalLines.Take(steadyclock.Now()); !allowed {
+		if _, allowed := s.gateway.tenantRefusalLines.Allow(steadyclock.Now()); !allowed {
 			return
 		}
 	}
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -249,7 +249,7 @@
 
 func (s *exchangeState) writeFailure(status int, reason verdict.Reason, after time.Duration) {
 	if after > 0 {
-		s.gateway.config.Dialect.ComeBack(s.writer.Header(), after)
+		s.gateway.config.Dialect.SetRetryAfter(s.writer.Header(), after)
 	}
 	s.writeFailureText(status, string(reason))
 }
--- a/internal/gateway/stale_directory_test.go
+++ b/internal/gateway/stale_directory_test.go
@@ -105,7 +105,7 @@
 	s := startSite(t, nil, map[string]http.HandlerFunc{"s": echo})
 	s.directory.mutex.Lock()
 	left := s.directory.reply.Instances[0]
-	left.ID, left.KnownSinceIndex = registry.LifeID("i-s", 500), 3
+	left.ID, left.KnownSinceIndex = registry.IncarnationID("i-s", 500), 3
 	s.directory.reply.Instances = []registry.Instance{left}
 	s.directory.mutex.Unlock()
 	s.install(oneRoute(1, "s"))
@@ -115,7 +115,7 @@
 	s.directory.mutex.Unlock()
 	require.Eventually(t, func() bool { return s.send(http.MethodGet, "/a/x", nil).status == http.StatusServiceUnavailable }, 10*time.Second, 10*time.Millisecond)
 	next := left
-	next.ID, next.KnownSinceIndex = registry.LifeID("i-s", 400), 6
+	next.ID, next.KnownSinceIndex = registry.IncarnationID("i-s", 400), 6
 	s.directory.mutex.Lock()
 	s.directory.reply.Instances = []registry.Instance{left, next}
 	s.directory.mutex.Unlock()
--- a/internal/logging/line_limit.go
+++ b/internal/logging/line_limit.go
@@ -18,8 +18,8 @@
 	suppressed int
 }
 
-// Take reports whether a line may be written, and how many were suppressed before it.
-func (l *LineLimit) Take(now time.Time) (dropped int, allowed bool) {
+// Allow reports whether a line may be written, and how many were suppressed before it.
+func (l *LineLimit) Allow(now time.Time) (dropped int, allowed bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if now.Sub(l.windowStart) >= time.Second {
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -32,15 +32,15 @@
 	// Requests is the number of requests in the logs; ordinary answers are sampled.
 	Requests int `json:"requests"`
 	// Lost is the total loss, in requests.
-	Lost       float64            `json:"lost"`
-	Causes     map[string]float64 `json:"causes"`
-	Seconds    []Second           `json:"seconds"`
-	Routes     []Group            `json:"routes"`
-	Shards     []Group            `json:"shards"`
-	Servers    []Group            `json:"servers"`
-	Starts     int                `json:"router_starts"`
-	Suspicions int                `json:"routers_doubted"`
-	PassedBy   int                `json:"lines_passed_over"`
+	Lost         float64            `json:"lost"`
+	Causes       map[string]float64 `json:"causes"`
+	Seconds      []Second           `json:"seconds"`
+	Routes       []Group            `json:"routes"`
+	Shards       []Group            `json:"shards"`
+	Servers      []Group            `json:"servers"`
+	Starts       int                `json:"router_starts"`
+	Suspicions   int                `json:"routers_doubted"`
+	SkippedLines int                `json:"lines_passed_over"`
 }
 
 // Second is the loss of the requests that ended within one second.
@@ -70,9 +70,9 @@
 	servers map[string]*Group
 }
 
-// Account computes the losses recorded in log lines. The lines of a request may come
+// Analyze computes the losses recorded in log lines. The lines of a request may come
 // from several routers and in any order.
-func Account(lines []trace.Line) Report {
+func Analyze(lines []trace.Line) Report {
 	result := &accumulator{
 		parts: make(map[string][]missingPart), seconds: make(map[time.Time]*Second), routes: make(map[string]*Group),
 		shards: make(map[string]*Group), servers: make(map[string]*Group),
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -26,7 +26,7 @@
 func analyze(t *testing.T) losses.Report {
 	lines, _, err := trace.Read("log", strings.NewReader(routerLogs))
 	require.NoError(t, err)
-	return losses.Account(lines)
+	return losses.Analyze(lines)
 }
 
 func TestLossesAreDividedAmongTheirCauses(t *testing.T) {
--- a/internal/losses/text.go
+++ b/internal/losses/text.go
@@ -25,7 +25,7 @@
 func (r Report) WriteText(out io.Writer) error {
 	text := &strings.Builder{}
 	fmt.Fprintf(text, "%.1f requests lost, of %d in the logs (ordinary answers are sampled)\n", r.Lost, r.Requests)
-	fmt.Fprintf(text, "routers started %d times, routers suspected %d times, lines skipped %d\n\nby cause\n", r.Starts, r.Suspicions, r.PassedBy)
+	fmt.Fprintf(text, "routers started %d times, routers suspected %d times, lines skipped %d\n\nby cause\n", r.Starts, r.Suspicions, r.SkippedLines)
 	for _, cause := range sortedCauses(r.Causes) {
 		fmt.Fprintf(text, "  %-12s %8.1f  %3.0f %%\n", cause, r.Causes[cause], 100*r.Causes[cause]/max(r.Lost, 1e-9))
 	}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -158,8 +158,8 @@
 	// sent. 0 disables hedging.
 	Quantile float64
 	// Lower and upper bound of the delay derived from the quantile.
-	Least time.Duration
-	Most  time.Duration
+	MinDelay time.Duration
+	MaxDelay time.Duration
 	// MaxPerShard bounds hedges per shard and request.
 	MaxPerShard int
 }
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -93,7 +93,7 @@
 func drawPolicy(t *rapid.T) Policy {
 	drawn := Policy{
 		Name: "p", Priority: PriorityNormal, Deadline: time.Second, SnapshotCoverage: 1,
-		Hedge: Hedge{Quantile: 0.95, Least: time.Millisecond, Most: time.Second, MaxPerShard: 1},
+		Hedge: Hedge{Quantile: 0.95, MinDelay: time.Millisecond, MaxDelay: time.Second, MaxPerShard: 1},
 		Retry: Retry{MaxPerShard: rapid.IntRange(0, 2).Draw(t, "retries")},
 		Merge: Merge{Kind: MergeTop, Limit: 3, Field: "f", Descending: true},
 	}
@@ -218,7 +218,7 @@
 		"unknown action":            func(p *Plan) { p.Routes[0].Policy.Statements[0].Action = 0 },
 		"ratio outside":             func(p *Plan) { p.Services[0].HedgeBudget.Ratio = 2 },
 		"snapshot coverage":         func(p *Plan) { p.Routes[0].Policy.SnapshotCoverage = 0 },
-		"hedge out of bounds":       func(p *Plan) { p.Routes[0].Policy.Hedge = Hedge{Quantile: 0.5, Least: 2, Most: 1} },
+		"hedge out of bounds":       func(p *Plan) { p.Routes[0].Policy.Hedge = Hedge{Quantile: 0.5, MinDelay: 2, MaxDelay: 1} },
 		"without exactly one":       func(p *Plan) { p.Routes[0].Policy.Statements[0].Condition = Condition{Kind: ConditionNot} },
 		"negative cell size":        func(p *Plan) { p.Services[0].CellRouters = -1 },
 		"is empty or used twice":    func(p *Plan) { p.Services[0].Generations[0].Shards[1].Name = "g0" },
--- a/internal/plan/proto.go
+++ b/internal/plan/proto.go
@@ -104,8 +104,8 @@
 		ClaimExpiry: durationToProto(policy.ClaimExpiry),
 		Hedge: &martenstagev1.Hedge{
 			Quantile:    policy.Hedge.Quantile,
-			Least:       durationToProto(policy.Hedge.Least),
-			Most:        durationToProto(policy.Hedge.Most),
+			Least:       durationToProto(policy.Hedge.MinDelay),
+			Most:        durationToProto(policy.Hedge.MaxDelay),
 			MaxPerShard: uint32(policy.Hedge.MaxPerShard),
 		},
 		Retry: &martenstagev1.Retry{
@@ -235,8 +235,8 @@
 		ClaimExpiry: message.GetClaimExpiry().AsDuration(),
 		Hedge: Hedge{
 			Quantile:    hedge.GetQuantile(),
-			Least:       hedge.GetLeast().AsDuration(),
-			Most:        hedge.GetMost().AsDuration(),
+			MinDelay:    hedge.GetLeast().AsDuration(),
+			MaxDelay:    hedge.GetMost().AsDuration(),
 			MaxPerShard: int(hedge.GetMaxPerShard()),
 		},
 		Retry:            Retry{MaxPerShard: int(retry.GetMaxPerShard()), Backoff: retry.GetBackoff().AsDuration()},
--- a/internal/plan/text.go
+++ b/internal/plan/text.go
@@ -124,7 +124,7 @@
 		return "off"
 	}
 	return fmt.Sprintf("at p%s between %s and %s at most %d",
-		percentDigits(h.Quantile), DurationText(h.Least), DurationText(h.Most), h.MaxPerShard)
+		percentDigits(h.Quantile), DurationText(h.MinDelay), DurationText(h.MaxDelay), h.MaxPerShard)
 }
 
 // String returns the retry in configuration syntax.
--- a/internal/plan/validate.go
+++ b/internal/plan/validate.go
@@ -140,7 +140,7 @@
 }
 
 func isValidHedge(hedge Hedge) bool {
-	return hedge.Quantile >= 0 && hedge.Quantile < 1 && hedge.Least >= 0 && hedge.Most >= hedge.Least && hedge.MaxPerShard >= 0
+	return hedge.Quantile >= 0 && hedge.Quantile < 1 && hedge.MinDelay >= 0 && hedge.MaxDelay >= hedge.MinDelay && hedge.MaxPerShard >= 0
 }
 
 // validateStatements checks that the last statement decides before the deadline
--- a/internal/policy/check_policy.go
+++ b/internal/policy/check_policy.go
@@ -138,7 +138,7 @@
 		c.report.add(node.Least.Pos, "hedge: the least delay %s is above the longest, %s", node.Least.Value, node.Most.Value)
 	}
 	if quantileOK && leastOK && mostOK {
-		c.compiled.Hedge = plan.Hedge{Quantile: quantile, Least: least, Most: most, MaxPerShard: limit}
+		c.compiled.Hedge = plan.Hedge{Quantile: quantile, MinDelay: least, MaxDelay: most, MaxPerShard: limit}
 	}
 }
 
@@ -191,9 +191,9 @@
 	if deadline == 0 {
 		return
 	}
-	if c.compiled.Hedge.Least >= deadline {
+	if c.compiled.Hedge.MinDelay >= deadline {
 		c.report.add(c.places["hedge"], "the hedge is sent after %s at the earliest, but the deadline is %s",
-			plan.DurationText(c.compiled.Hedge.Least), plan.DurationText(deadline))
+			plan.DurationText(c.compiled.Hedge.MinDelay), plan.DurationText(deadline))
 	}
 	if c.compiled.Retry.Backoff >= deadline {
 		c.report.add(c.places["retry"], "the retry is sent after %s at the earliest, but the deadline is %s",
--- a/internal/policy/compile_test.go
+++ b/internal/policy/compile_test.go
@@ -114,7 +114,7 @@
 	require.Equal(t, 24*time.Hour, claim.ClaimExpiry)
 	require.Equal(t, plan.PriorityNormal, claim.Priority)
 	require.Equal(t, 0.995, quick.SnapshotCoverage)
-	require.Equal(t, plan.Hedge{Quantile: 0.999, Least: 2 * time.Millisecond, Most: 30 * time.Millisecond, MaxPerShard: 1}, quick.Hedge)
+	require.Equal(t, plan.Hedge{Quantile: 0.999, MinDelay: 2 * time.Millisecond, MaxDelay: 30 * time.Millisecond, MaxPerShard: 1}, quick.Hedge)
 	require.Equal(t, plan.Retry{MaxPerShard: 1, Backoff: 5 * time.Millisecond}, quick.Retry)
 	require.Equal(t, plan.Merge{Kind: plan.MergeTop, Limit: 10, Field: "distance", Descending: true}, quick.Merge)
 	require.Equal(t, []string{
--- a/internal/policy/explain.go
+++ b/internal/policy/explain.go
@@ -128,7 +128,7 @@
 	} else {
 		extra += e.service.HedgeBudget.Ratio
 		e.row("hedge", "at most %d a group, after %s of the group's latency, but from %s to %s; budget %s",
-			hedge.MaxPerShard, quantileText(hedge.Quantile), plan.DurationText(hedge.Least), plan.DurationText(hedge.Most), budgetMeaning(e.service.HedgeBudget))
+			hedge.MaxPerShard, quantileText(hedge.Quantile), plan.DurationText(hedge.MinDelay), plan.DurationText(hedge.MaxDelay), budgetMeaning(e.service.HedgeBudget))
 	}
 	if retry.MaxPerShard == 0 {
 		e.row("retry", "off")
--- a/internal/policy/lint.go
+++ b/internal/policy/lint.go
@@ -157,8 +157,8 @@
 		l.warn(place, "its last statement leaves %s until the deadline to merge and send the answer; leave %s or more",
 			plan.DurationText(margin), plan.DurationText(leastMargin))
 	}
-	if policy.Hedge.Least >= last.Condition.Duration {
-		l.warn(place, "its hedge is sent after %s at the earliest, when the last statement has decided", plan.DurationText(policy.Hedge.Least))
+	if policy.Hedge.MinDelay >= last.Condition.Duration {
+		l.warn(place, "its hedge is sent after %s at the earliest, when the last statement has decided", plan.DurationText(policy.Hedge.MinDelay))
 	}
 	l.program(place, route, service)
 }
--- a/internal/probing/attempt.go
+++ b/internal/probing/attempt.go
@@ -10,7 +10,7 @@
 // ProbeOf converts a health observation for a Schedule.
 func ProbeOf(observed query.HealthObserved, at time.Time) Probe {
 	return Probe{
-		At: at, Reachable: observed.Reachable, Silent: observed.Silent, State: observed.Health.State, Holdings: observed.Health.Holdings,
+		At: at, Reachable: observed.Reachable, Silent: observed.TimedOut, State: observed.Health.State, Holdings: observed.Health.Holdings,
 	}
 }
 
--- a/internal/proof/emulator/echo.go
+++ b/internal/proof/emulator/echo.go
@@ -48,7 +48,7 @@
 		headers[backendapi.HeaderDraining] = []string{"1"}
 	}
 	headers[backendapi.HeaderLoad] = []string{formatLoad(health.Load)}
-	headers[backendapi.HeaderHoldings] = []string{backendapi.HoldingsMark(health.Shards)}
+	headers[backendapi.HeaderHoldings] = []string{backendapi.HoldingsFingerprint(health.Shards)}
 }
 
 func formatLoad(load backendapi.Load) string {
--- a/internal/proof/emulator/health.go
+++ b/internal/proof/emulator/health.go
@@ -145,7 +145,7 @@
 	if health.State == backendapi.StateDraining {
 		writer.Header().Set(backendapi.HeaderDraining, "1")
 	}
-	health.Holdings = backendapi.HoldingsMark(health.Shards)
+	health.Holdings = backendapi.HoldingsFingerprint(health.Shards)
 	writeJSON(writer, health)
 }
 
--- a/internal/proof/experiment/virtual/server.go
+++ b/internal/proof/experiment/virtual/server.go
@@ -271,7 +271,7 @@
 			Service: held.service, Generation: held.generation, Shard: held.shard, Versions: versions,
 		})
 	}
-	report.Holdings = backendapi.HoldingsMark(report.Shards)
+	report.Holdings = backendapi.HoldingsFingerprint(report.Shards)
 	return report
 }
 
--- a/internal/proof/scale/fleet.go
+++ b/internal/proof/scale/fleet.go
@@ -140,7 +140,7 @@
 	const leaveTimeout = 2 * time.Second
 	bounded, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
-	if err := upper.Deregister(bounded); err != nil {
+	if err := upper.Release(bounded); err != nil {
 		f.logger.WithField("reason", err).Info("lease not given back")
 	}
 }
--- a/internal/proof/simulation/backend.go
+++ b/internal/proof/simulation/backend.go
@@ -328,7 +328,7 @@
 		b.reported = b.shardStates()
 	}
 	report.Shards = b.reported
-	report.Holdings = backendapi.HoldingsMark(report.Shards)
+	report.Holdings = backendapi.HoldingsFingerprint(report.Shards)
 	return report
 }
 
--- a/internal/proof/simulation/probe.go
+++ b/internal/proof/simulation/probe.go
@@ -63,7 +63,7 @@
 		handle: func(reply reply) { reply(w.server.health()) },
 		done: func(result callResult) {
 			observed := query.HealthObserved{
-				Address: w.server.address, Reachable: !result.failed, Silent: result.failed && !result.refused,
+				Address: w.server.address, Reachable: !result.failed, TimedOut: result.failed && !result.refused,
 			}
 			if !result.failed {
 				observed.Health = r.world.mutations.health(result.answer)
--- a/internal/proof/suspension/suspension.go
+++ b/internal/proof/suspension/suspension.go
@@ -28,11 +28,11 @@
 	return machine
 }
 
-// Running implements steadyclock.Machine.
-func (m *Machine) Running() (time.Duration, error) { return time.Since(m.began), nil }
+// Monotonic implements steadyclock.Machine.
+func (m *Machine) Monotonic() (time.Duration, error) { return time.Since(m.began), nil }
 
-// SinceBoot implements steadyclock.Machine.
-func (m *Machine) SinceBoot() (time.Duration, error) {
+// BootTime implements steadyclock.Machine.
+func (m *Machine) BootTime() (time.Duration, error) {
 	return time.Since(m.began) + time.Duration(m.suspended.Load()), nil
 }
 
--- a/internal/query/backends.go
+++ b/internal/query/backends.go
@@ -11,7 +11,7 @@
 type connectionCounts map[netip.AddrPort]int
 
 func (e *Engine) healthObserved(event HealthObserved) {
-	if event.Silent {
+	if event.TimedOut {
 		e.serverChanged(e.pool.ObserveProbeTimeout(e.now, event.Address))
 		return
 	}
--- a/internal/query/engine_test.go
+++ b/internal/query/engine_test.go
@@ -64,7 +64,7 @@
 	return plan.Policy{
 		Name: "p", Priority: plan.PriorityInteractive, Deadline: 200 * time.Millisecond,
 		SnapshotCoverage: 1, Merge: plan.Merge{Kind: plan.MergeConcat},
-		Hedge: plan.Hedge{Quantile: 0.95, Least: 2 * time.Millisecond, Most: 40 * time.Millisecond, MaxPerShard: 1},
+		Hedge: plan.Hedge{Quantile: 0.95, MinDelay: 2 * time.Millisecond, MaxDelay: 40 * time.Millisecond, MaxPerShard: 1},
 		Retry: plan.Retry{MaxPerShard: 2, Backoff: 5 * time.Millisecond},
 		Statements: []plan.Statement{
 			{Condition: plan.Condition{Kind: plan.ConditionSettled}, Action: plan.ActionAnswer},
--- a/internal/query/event.go
+++ b/internal/query/event.go
@@ -134,10 +134,10 @@
 	Address netip.AddrPort
 	// Reachable is false when the probe failed; Health is then empty.
 	Reachable bool
-	// Silent is set in addition when no reply arrived in time. The network may be the
+	// TimedOut is set in addition when no reply arrived in time. The network may be the
 	// cause, so it tells nothing about the back end.
-	Silent bool
-	Health backendapi.Health
+	TimedOut bool
+	Health   backendapi.Health
 }
 
 // MachineObserved is a report about a back end from the platform list, an operator or
--- a/internal/query/hedge.go
+++ b/internal/query/hedge.go
@@ -79,11 +79,11 @@
 		known = group.Generation().Latency
 	}
 	if known.Count() < minObservations {
-		return hedge.Most
+		return hedge.MaxDelay
 	}
-	delay := max(known.Quantile(hedge.Quantile), hedge.Least)
-	if hedge.Most > 0 {
-		delay = min(delay, hedge.Most)
+	delay := max(known.Quantile(hedge.Quantile), hedge.MinDelay)
+	if hedge.MaxDelay > 0 {
+		delay = min(delay, hedge.MaxDelay)
 	}
 	return delay
 }
--- a/internal/registry/departure.go
+++ b/internal/registry/departure.go
@@ -16,7 +16,7 @@
 
 // appliesTo reports whether the departure applies to an incarnation.
 func (n NameDeparture) appliesTo(instance Instance) bool {
-	return instance.KnownSinceIndex <= n.LogIndex && (n.StartedAt == 0 || instance.Born <= n.StartedAt) && NameOf(instance.ID) == n.Name
+	return instance.KnownSinceIndex <= n.LogIndex && (n.StartedAt == 0 || instance.StartedAt <= n.StartedAt) && NameOf(instance.ID) == n.Name
 }
 
 // subsumes reports whether another departure of the name adds nothing: this one applies to
@@ -107,7 +107,7 @@
 // departed incarnation may have been the active one.
 func (d *Departures) Suspects(instance Instance) bool {
 	return slices.ContainsFunc(d.byName[NameOf(instance.ID)], func(left NameDeparture) bool {
-		return left.StartedAt > 0 && left.StartedAt < instance.Born && instance.KnownSinceIndex <= left.LogIndex
+		return left.StartedAt > 0 && left.StartedAt < instance.StartedAt && instance.KnownSinceIndex <= left.LogIndex
 	})
 }
 
--- a/internal/registry/departure_test.go
+++ b/internal/registry/departure_test.go
@@ -10,7 +10,7 @@
 )
 
 func knownIncarnation(startedAt int64, since uint64) registry.Instance {
-	return registry.Instance{ID: registry.LifeID("i", startedAt), Born: startedAt, KnownSinceIndex: since}
+	return registry.Instance{ID: registry.IncarnationID("i", startedAt), StartedAt: startedAt, KnownSinceIndex: since}
 }
 
 func TestNameDepartureAppliesToEarlierIncarnations(t *testing.T) {
--- a/internal/registry/incarnation.go
+++ b/internal/registry/incarnation.go
@@ -12,10 +12,10 @@
 // segments, which never contain it.
 const incarnationSeparator = "#"
 
-// LifeID returns the ID of one incarnation of a server that keeps its name across restarts, so
+// IncarnationID returns the ID of one incarnation of a server that keeps its name across restarts, so
 // that nothing known of an earlier incarnation applies to it. An incarnation without a known
 // start time has the name itself.
-func LifeID(name string, startedAt int64) string {
+func IncarnationID(name string, startedAt int64) string {
 	if startedAt <= 0 {
 		return name
 	}
@@ -35,7 +35,7 @@
 		t.byName[name] = make(map[string]*entry)
 	}
 	t.byName[name][added.instance.ID] = added
-	if added.instance.Born > 0 {
+	if added.instance.StartedAt > 0 {
 		t.withStartTime++
 	}
 }
@@ -46,7 +46,7 @@
 	if len(t.byName[name]) == 0 {
 		delete(t.byName, name)
 	}
-	if removed.instance.Born > 0 {
+	if removed.instance.StartedAt > 0 {
 		t.withStartTime--
 	}
 }
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -26,7 +26,7 @@
 		table := registry.New(5*time.Second, time.Minute)
 		incarnation := func(startedAt int64, sequence uint64) registry.Instance {
 			return registry.Instance{
-				ID: registry.LifeID("i", startedAt), Born: startedAt, Service: "s", Address: "10.0.0.1:1", Slots: 2, State: registry.Ready, Sequence: sequence,
+				ID: registry.IncarnationID("i", startedAt), StartedAt: startedAt, Service: "s", Address: "10.0.0.1:1", Slots: 2, State: registry.Ready, Sequence: sequence,
 			}
 		}
 		if knownBefore {
@@ -35,7 +35,7 @@
 		require.True(t, table.Report(now, incarnation(2, 1)), name)
 		for sequence := uint64(51); sequence < 60; sequence++ {
 			table.Report(now, incarnation(1, sequence))
-			table.Refresh(now, registry.LifeID("i", 1), sequence+100)
+			table.Refresh(now, registry.IncarnationID("i", 1), sequence+100)
 		}
 		require.Equal(t, map[string]registry.State{"i#1": registry.Missing, "i#2": registry.Ready}, statesIn(table, now), name)
 		require.Equal(t, []string{"i#1", "i#2"}, table.Incarnations("i"))
@@ -48,14 +48,14 @@
 func TestDepartedIncarnationDoesNotAffectTheNext(t *testing.T) {
 	now := time.Unix(100, 0)
 	table := registry.New(5*time.Second, time.Minute)
-	first := registry.Instance{ID: registry.LifeID("i", 1), Born: 1, Service: "s", Address: "10.0.0.1:1", Slots: 2, State: registry.Leaving, Sequence: 9}
+	first := registry.Instance{ID: registry.IncarnationID("i", 1), StartedAt: 1, Service: "s", Address: "10.0.0.1:1", Slots: 2, State: registry.Leaving, Sequence: 9}
 	table.Report(now, first)
 	next := first
-	next.ID, next.Born, next.State, next.Sequence = registry.LifeID("i", 2), 2, registry.Ready, 1
+	next.ID, next.StartedAt, next.State, next.Sequence = registry.IncarnationID("i", 2), 2, registry.Ready, 1
 	table.Report(now, next)
 	require.Equal(t, map[string]registry.State{"i#1": registry.Leaving, "i#2": registry.Ready}, statesIn(table, now))
 	require.Equal(t, "i", registry.NameOf(next.ID))
-	require.Equal(t, "i", registry.NameOf(registry.LifeID("i", 0)), "without a start time the ID is the name")
+	require.Equal(t, "i", registry.NameOf(registry.IncarnationID("i", 0)), "without a start time the ID is the name")
 }
 
 // TestIncarnationAfterClockWasSetBackIsServed guards against treating a restarted server as
@@ -64,7 +64,7 @@
 func TestIncarnationAfterClockWasSetBackIsServed(t *testing.T) {
 	const missingAfter = 5 * time.Second
 	incarnation := func(startedAt int64, sequence uint64, state registry.State) registry.Instance {
-		return registry.Instance{ID: registry.LifeID("i", startedAt), Born: startedAt, Service: "s", Address: "10.0.0.1:1", Slots: 2, State: state, Sequence: sequence}
+		return registry.Instance{ID: registry.IncarnationID("i", startedAt), StartedAt: startedAt, Service: "s", Address: "10.0.0.1:1", Slots: 2, State: state, Sequence: sequence}
 	}
 	for name, before := range map[string]registry.State{"crashed": registry.Ready, "left": registry.Leaving} {
 		now := time.Unix(100, 0)
@@ -93,7 +93,7 @@
 	require.True(t, table.Report(now, registry.Instance{ID: "bare", Address: "10.0.0.1:1", State: registry.Ready}))
 	require.False(t, table.StableNames())
 	for startedAt := range int64(3) {
-		table.Report(now, registry.Instance{ID: registry.LifeID("i", startedAt+1), Born: startedAt + 1, Address: "10.0.0.1:2", State: registry.Ready, KnownSinceIndex: uint64(startedAt) + 1})
+		table.Report(now, registry.Instance{ID: registry.IncarnationID("i", startedAt+1), StartedAt: startedAt + 1, Address: "10.0.0.1:2", State: registry.Ready, KnownSinceIndex: uint64(startedAt) + 1})
 	}
 	require.Equal(t, []string{"i#1", "i#2", "i#3"}, table.Incarnations("i"))
 	require.Equal(t, []string{"bare"}, table.Incarnations("bare"))
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -31,8 +31,8 @@
 type Instance struct {
 	ID string `json:"id"`
 	// Start time of the server in ms since 1970 by its own clock; 0 if not reported.
-	Born    int64  `json:"born,omitempty"`
-	Service string `json:"service"`
+	StartedAt int64  `json:"born,omitempty"`
+	Service   string `json:"service"`
 	// Address is IP and port. It may be assigned to another server later.
 	Address string `json:"address"`
 	Zone    string `json:"zone,omitempty"`
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -30,7 +30,7 @@
 	now := time.Unix(100, 0)
 	table := registry.New(5*time.Second, time.Minute)
 	for startedAt := range int64(2) {
-		table.Report(now, registry.Instance{ID: registry.LifeID("i", startedAt+1), Born: startedAt + 1, Address: "10.0.0.1:1", State: registry.Ready})
+		table.Report(now, registry.Instance{ID: registry.IncarnationID("i", startedAt+1), StartedAt: startedAt + 1, Address: "10.0.0.1:1", State: registry.Ready})
 	}
 	require.Equal(t, []registry.Replacement{{ID: "i#1", By: "i#2", Address: "10.0.0.1:1"}}, table.TakeReplacements())
 	require.Empty(t, table.TakeReplacements())
--- a/internal/registry/succession.go
+++ b/internal/registry/succession.go
@@ -24,7 +24,7 @@
 	for _, known := range t.byName[NameOf(added.instance.ID)] {
 		switch {
 		case known == added || known.superseded:
-		case added.instance.Born > known.instance.Born && added.receivedAfter(known):
+		case added.instance.StartedAt > known.instance.StartedAt && added.receivedAfter(known):
 			t.supersede(known, added)
 		case added.instance.Address == known.instance.Address:
 			t.deactivate(added)
@@ -153,7 +153,7 @@
 		case known.instance.Replaced:
 		case found == nil || ready && found.instance.State != Ready:
 			found = known
-		case ready == (found.instance.State == Ready) && known.instance.Born > found.instance.Born:
+		case ready == (found.instance.State == Ready) && known.instance.StartedAt > found.instance.StartedAt:
 			found = known
 		}
 	}
@@ -203,7 +203,7 @@
 
 // startedAfter reports whether the entry has a later start time than an instance.
 func (e *entry) startedAfter(instance Instance) bool {
-	return instance.Born > 0 && e.instance.Born > instance.Born
+	return instance.StartedAt > 0 && e.instance.StartedAt > instance.StartedAt
 }
 
 // outranks reports whether an entry takes precedence over an instance that sends heartbeats in
@@ -218,7 +218,7 @@
 // departure names an incarnation that may have been active, incarnations known before it with
 // a later start time are deactivated, since the clock may have been set back in between.
 func (t *Table) MarkNameLeaving(departure NameDeparture) {
-	departed := t.byName[departure.Name][LifeID(departure.Name, departure.StartedAt)]
+	departed := t.byName[departure.Name][IncarnationID(departure.Name, departure.StartedAt)]
 	inUse := departure.StartedAt > 0 && (departed == nil || !departed.superseded)
 	for id, known := range t.byName[departure.Name] {
 		switch {
@@ -226,7 +226,7 @@
 			t.MarkLeaving(id)
 		case inUse && known.instance.KnownSinceIndex <= departure.LogIndex && known.instance.State != Leaving && !known.instance.Replaced:
 			t.deactivate(known)
-			t.recordReplacement(known, LifeID(departure.Name, departure.StartedAt))
+			t.recordReplacement(known, IncarnationID(departure.Name, departure.StartedAt))
 		}
 	}
 }
--- a/internal/registry/succession_test.go
+++ b/internal/registry/succession_test.go
@@ -36,14 +36,14 @@
 func (s *harness) heartbeat(startedAt int64, address string, state registry.State) {
 	s.sequences[startedAt]++
 	s.table.Report(s.now, registry.Instance{
-		ID: registry.LifeID(testName, startedAt), Born: startedAt, Service: "s", Address: address, Slots: 2, State: state,
+		ID: registry.IncarnationID(testName, startedAt), StartedAt: startedAt, Service: "s", Address: address, Slots: 2, State: state,
 		Sequence: s.sequences[startedAt], KnownSinceIndex: s.index + 1,
 	})
 }
 
 // depart applies the departure of an incarnation as a node does.
 func (s *harness) depart(startedAt int64) {
-	id := registry.LifeID(testName, startedAt)
+	id := registry.IncarnationID(testName, startedAt)
 	former := s.table.Superseded(id)
 	s.index++
 	for _, left := range append(former, id) {
@@ -58,7 +58,7 @@
 	found := map[string][]int64{}
 	for _, known := range s.table.ChangedSince(s.now, 0) {
 		if known.State != registry.Leaving && !known.Replaced {
-			found[known.Address] = append(found[known.Address], known.Born)
+			found[known.Address] = append(found[known.Address], known.StartedAt)
 		}
 	}
 	return found
@@ -202,7 +202,7 @@
 	s := newHarness()
 	other := func(startedAt int64, address string) {
 		s.table.Report(s.now, registry.Instance{
-			ID: registry.LifeID("other", startedAt), Born: startedAt, Service: "s", Address: address, Slots: 2, State: registry.Ready, Sequence: s.sequences[10],
+			ID: registry.IncarnationID("other", startedAt), StartedAt: startedAt, Service: "s", Address: address, Slots: 2, State: registry.Ready, Sequence: s.sequences[10],
 		})
 	}
 	other(1, firstAddress)
@@ -225,7 +225,7 @@
 		s := newHarness()
 		s.heartbeat(10, address, registry.Ready)
 		s.table.Report(s.now, registry.Instance{
-			ID: registry.LifeID(testName, 20), Born: 20, Service: "s", Address: firstAddress, Slots: 2, State: registry.Ready,
+			ID: registry.IncarnationID(testName, 20), StartedAt: 20, Service: "s", Address: firstAddress, Slots: 2, State: registry.Ready,
 			Sequence: 7, Age: time.Second,
 		})
 		require.Contains(t, s.active()[address], int64(10), name)
@@ -273,7 +273,7 @@
 	s := newHarness()
 	for startedAt, address := range map[int64]string{10: secondAddress, 20: firstAddress} {
 		s.table.Report(s.now, registry.Instance{
-			ID: registry.LifeID(testName, startedAt), Born: startedAt, Service: "s", Address: address, Slots: 2, State: registry.Ready, Sequence: 3, Restored: true,
+			ID: registry.IncarnationID(testName, startedAt), StartedAt: startedAt, Service: "s", Address: address, Slots: 2, State: registry.Ready, Sequence: 3, Restored: true,
 		})
 	}
 	require.Equal(t, map[string][]int64{firstAddress: {20}, secondAddress: {10}}, s.active())
@@ -293,7 +293,7 @@
 			state = registry.Leaving
 		}
 		s.table.Report(s.now, registry.Instance{
-			ID: registry.LifeID(testName, startedAt), Born: startedAt, Service: "s", Address: firstAddress, Slots: 2, State: state, Sequence: 3, KnownSinceIndex: 5, Restored: true,
+			ID: registry.IncarnationID(testName, startedAt), StartedAt: startedAt, Service: "s", Address: firstAddress, Slots: 2, State: state, Sequence: 3, KnownSinceIndex: 5, Restored: true,
 		})
 	}
 	s.depart(10)
@@ -319,7 +319,7 @@
 func TestLeavingIncarnationReportedAsReplacedStaysLeaving(t *testing.T) {
 	s := newHarness()
 	s.table.Report(s.now, registry.Instance{
-		ID: registry.LifeID(testName, 9), Born: 9, Service: "s", Address: firstAddress, Slots: 2, State: registry.Leaving, Sequence: 1, Replaced: true,
+		ID: registry.IncarnationID(testName, 9), StartedAt: 9, Service: "s", Address: firstAddress, Slots: 2, State: registry.Leaving, Sequence: 1, Replaced: true,
 	})
 	require.Equal(t, registry.Leaving, statesIn(s.table, s.now)["i#9"])
 }
--- a/internal/router/cost_test.go
+++ b/internal/router/cost_test.go
@@ -262,7 +262,7 @@
 			HedgeBudget: plan.Budget{Ratio: 0.1, Burst: 20}}},
 		Routes: []plan.Route{{Name: "find", Service: "search", Target: plan.TargetAll, Policy: plan.Policy{
 			Name: "all", Priority: plan.PriorityInteractive, Deadline: 5 * time.Second, SnapshotCoverage: 1,
-			Hedge: plan.Hedge{Quantile: 0.95, Least: time.Second, Most: 2 * time.Second, MaxPerShard: 1},
+			Hedge: plan.Hedge{Quantile: 0.95, MinDelay: time.Second, MaxDelay: 2 * time.Second, MaxPerShard: 1},
 			Statements: []plan.Statement{
 				{Condition: plan.Condition{Kind: plan.ConditionCoverage, Ratio: 1}, Action: plan.ActionAnswer},
 				{Condition: plan.Condition{Kind: plan.ConditionElapsed, Duration: 4 * time.Second}, Action: plan.ActionAnswer},
--- a/internal/scatter/events.go
+++ b/internal/scatter/events.go
@@ -103,7 +103,7 @@
 func (Abandoned) isEvent()        {}
 func (Withdrawn) isEvent()        {}
 func (ServersChanged) isEvent()   {}
-func (ServersRemoved) isEvent()      {}
+func (ServersRemoved) isEvent()   {}
 func (DocumentChanged) isEvent()  {}
 func (RoutersChanged) isEvent()   {}
 func (GatherersChanged) isEvent() {}
@@ -235,19 +235,19 @@
 // LogServer reports a change in the state of a server, for the log.
 type LogServer struct {
 	Server Server
-	Event string
+	Event  string
 	Detail string
 }
 
-func (Send) isCommand()    {}
-func (Claim) isCommand()   {}
-func (Abort) isCommand()   {}
-func (Part) isCommand()    {}
-func (Respond) isCommand() {}
-func (Dropped) isCommand() {}
-func (Overdue) isCommand() {}
-func (Wake) isCommand()    {}
-func (LogServer) isCommand()   {}
+func (Send) isCommand()      {}
+func (Claim) isCommand()     {}
+func (Abort) isCommand()     {}
+func (Part) isCommand()      {}
+func (Respond) isCommand()   {}
+func (Dropped) isCommand()   {}
+func (Overdue) isCommand()   {}
+func (Wake) isCommand()      {}
+func (LogServer) isCommand() {}
 
 // Result is the result of a request.
 type Result struct {
@@ -267,7 +267,7 @@
 	// Denied counts the extra attempts that the budget denied.
 	Denied int
 	// MissingCount counts the calls without a part; Lacking describes the first few.
-	MissingCount  int
+	MissingCount int
 	MissingParts []MissingPart
 }
 
--- a/internal/scatter/rollouts.go
+++ b/internal/scatter/rollouts.go
@@ -17,8 +17,8 @@
 	Service string
 	Route   string
 	// New says that the server runs the new version, Bad that the attempt failed.
-	New  bool
-	Failed  bool
+	New      bool
+	Failed   bool
 	Duration time.Duration
 }
 
--- a/internal/slicing/collect.go
+++ b/internal/slicing/collect.go
@@ -6,8 +6,8 @@
 // return it.
 type Collection struct {
 	// Numbers of shards: all, those with a part received, and those that failed.
-	Total int
-	Received    int
+	Total    int
+	Received int
 	Failed   int
 	// MinCoverage is the minimum coverage: the fraction of the shards, 0 to 1, that an answer needs.
 	MinCoverage float64
--- a/internal/spool/merge.go
+++ b/internal/spool/merge.go
@@ -46,9 +46,9 @@
 // kept.
 func mergeEqual(events []*v1.Event, window time.Duration) []*v1.Event {
 	merged := make([]*v1.Event, 0, len(events))
-	first := make(map[journal.Sameness]*v1.Event, len(events))
+	first := make(map[journal.EventKey]*v1.Event, len(events))
 	for _, event := range events {
-		key := journal.SamenessOf(event)
+		key := journal.EventKeyOf(event)
 		earlier, found := first[key]
 		if !found || event.GetId() != "" || earlier.GetId() != "" || !withinWindow(earlier, event, window) {
 			first[key] = event
--- a/internal/spool/store.go
+++ b/internal/spool/store.go
@@ -42,7 +42,7 @@
 	database *bbolt.DB
 	// latest maps each equality key to the number of its latest stored event. It is a
 	// hint that is verified on use, and is accessed in write transactions only.
-	latest map[journal.Sameness]uint64
+	latest map[journal.EventKey]uint64
 	// crashed reports that the previous incarnation did not shut down cleanly.
 	crashed bool
 }
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "open %s", path)
 	}
-	opened := &store{database: database, latest: make(map[journal.Sameness]uint64)}
+	opened := &store{database: database, latest: make(map[journal.EventKey]uint64)}
 	if err := opened.markRunning(); err != nil {
 		return nil, errors.Join(errors.Wrapf(err, "prepare %s", path), database.Close())
 	}
@@ -128,7 +128,7 @@
 // putOrMerge merges an event into an equal one that no delivery was attempted for, or
 // else stores it.
 func (s *store) putOrMerge(events *bbolt.Bucket, event *v1.Event, added writeBatch, window time.Duration) error {
-	key := journal.SamenessOf(event)
+	key := journal.EventKeyOf(event)
 	if number := s.latest[key]; number > added.mergeAfter && added.mergeable(event) {
 		earlier := &v1.Event{}
 		stored := events.Get(encodeNumber(number))
--- a/internal/state/event_log.go
+++ b/internal/state/event_log.go
@@ -29,12 +29,12 @@
 	ids      map[string]struct{}
 	// latest maps each equality key to the position of its latest event, counted
 	// from the first event that the log ever held.
-	latest       map[eventjournal.Sameness]uint64
+	latest       map[eventjournal.EventKey]uint64
 	removedCount uint64
 }
 
 func newEventLog() eventLog {
-	return eventLog{ids: map[string]struct{}{}, latest: map[eventjournal.Sameness]uint64{}}
+	return eventLog{ids: map[string]struct{}{}, latest: map[eventjournal.EventKey]uint64{}}
 }
 
 // insert adds an event without merging and returns how many old events it
@@ -43,7 +43,7 @@
 	size := proto.Size(event)
 	l.ids[event.GetId()] = struct{}{}
 	if _, sequenced := parseSequencedID(event.GetId()); sequenced {
-		l.latest[eventjournal.SamenessOf(event)] = l.removedCount + uint64(len(l.events))
+		l.latest[eventjournal.EventKeyOf(event)] = l.removedCount + uint64(len(l.events))
 	}
 	l.events = append(l.events, event)
 	l.arrivals = append(l.arrivals, arrival)
@@ -62,7 +62,7 @@
 // one is a repeated delivery. Events with other ids are not merged.
 func (l *eventLog) merge(event *v1.Event) bool {
 	id, sequenced := parseSequencedID(event.GetId())
-	position, found := l.latest[eventjournal.SamenessOf(event)]
+	position, found := l.latest[eventjournal.EventKeyOf(event)]
 	if !sequenced || !found {
 		return false
 	}
@@ -151,7 +151,7 @@
 
 func (l *eventLog) dropOldest() {
 	delete(l.ids, l.events[0].GetId())
-	if key := eventjournal.SamenessOf(l.events[0]); l.latest[key] == l.removedCount {
+	if key := eventjournal.EventKeyOf(l.events[0]); l.latest[key] == l.removedCount {
 		delete(l.latest, key)
 	}
 	l.removedCount++
--- a/internal/steadyclock/steadyclock.go
+++ b/internal/steadyclock/steadyclock.go
@@ -40,10 +40,10 @@
 
 // Machine provides the two clocks that a Clock compares. Reading them may fail.
 type Machine interface {
-	// Running returns the clock that stops while the machine is suspended.
-	Running() (time.Duration, error)
-	// SinceBoot returns the clock that advances during suspensions.
-	SinceBoot() (time.Duration, error)
+	// Monotonic returns the clock that stops while the machine is suspended.
+	Monotonic() (time.Duration, error)
+	// BootTime returns the clock that advances during suspensions.
+	BootTime() (time.Duration, error)
 }
 
 // initialReadings is the number of readings from which New takes the lowest offset.
@@ -67,22 +67,22 @@
 // descheduled between the two readings. As New uses the upper bound and later readings use the
 // lower bound, such a delay never counts as a suspension.
 func offsetUpperBound(machine Machine) (time.Duration, error) {
-	running, err := machine.Running()
+	running, err := machine.Monotonic()
 	if err != nil {
 		return 0, err
 	}
-	sinceBoot, err := machine.SinceBoot()
+	sinceBoot, err := machine.BootTime()
 	return sinceBoot - running, err
 }
 
 // offsetLowerBound returns a lower bound of the offset between the clocks; see
 // offsetUpperBound.
 func offsetLowerBound(machine Machine) (time.Duration, error) {
-	sinceBoot, err := machine.SinceBoot()
+	sinceBoot, err := machine.BootTime()
 	if err != nil {
 		return 0, err
 	}
-	running, err := machine.Running()
+	running, err := machine.Monotonic()
 	return sinceBoot - running, err
 }
 
@@ -127,11 +127,11 @@
 // systemClocks reads CLOCK_MONOTONIC and CLOCK_BOOTTIME (clock_gettime(2)).
 type systemClocks struct{}
 
-// Running implements Machine.
-func (systemClocks) Running() (time.Duration, error) { return readClock(unix.CLOCK_MONOTONIC) }
+// Monotonic implements Machine.
+func (systemClocks) Monotonic() (time.Duration, error) { return readClock(unix.CLOCK_MONOTONIC) }
 
-// SinceBoot implements Machine.
-func (systemClocks) SinceBoot() (time.Duration, error) { return readClock(unix.CLOCK_BOOTTIME) }
+// BootTime implements Machine.
+func (systemClocks) BootTime() (time.Duration, error) { return readClock(unix.CLOCK_BOOTTIME) }
 
 func readClock(id int32) (time.Duration, error) {
 	var read unix.Timespec
@@ -160,9 +160,9 @@
 // Until returns the duration until a time on the clock of Now.
 func Until(at time.Time) time.Duration { return at.Sub(Now()) }
 
-// Runtime converts a time on the clock of Now to a deadline for timers and connections of the
+// RuntimeDeadline converts a time on the clock of Now to a deadline for timers and connections of the
 // standard library. The deadline is late if the machine is suspended before it.
-func Runtime(at time.Time) time.Time { return time.Now().Add(Until(at)) }
+func RuntimeDeadline(at time.Time) time.Time { return time.Now().Add(Until(at)) }
 
 // WithDeadline is context.WithDeadline for a time on the clock of Now.
 func WithDeadline(ctx context.Context, at time.Time) (context.Context, context.CancelFunc) {
--- a/internal/steadyclock/steadyclock_test.go
+++ b/internal/steadyclock/steadyclock_test.go
@@ -23,7 +23,7 @@
 	tested.Suspend(45 * time.Second)
 	require.GreaterOrEqual(t, steadyclock.Since(before), 45*time.Second)
 	require.LessOrEqual(t, steadyclock.Until(deadline), 15*time.Second)
-	require.LessOrEqual(t, time.Until(steadyclock.Runtime(deadline)), 15*time.Second)
+	require.LessOrEqual(t, time.Until(steadyclock.RuntimeDeadline(deadline)), 15*time.Second)
 	bounded, cancel := steadyclock.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	ends, _ := bounded.Deadline()
@@ -63,12 +63,12 @@
 // descheduled between readings.
 type pausingMachine struct{ now, pause time.Duration }
 
-func (m *pausingMachine) Running() (time.Duration, error) {
+func (m *pausingMachine) Monotonic() (time.Duration, error) {
 	m.now += m.pause
 	return m.now, nil
 }
 
-func (m *pausingMachine) SinceBoot() (time.Duration, error) { return m.Running() }
+func (m *pausingMachine) BootTime() (time.Duration, error) { return m.Monotonic() }
 
 // TestWaitingForAProcessorIsNoSuspension guards against a clock that runs ahead on a busy machine, because
 // it permanently counts the delay between two readings as a suspension.
@@ -88,8 +88,8 @@
 // failingMachine has clocks that can't be read.
 type failingMachine struct{ reason error }
 
-func (m failingMachine) Running() (time.Duration, error)   { return 0, m.reason }
-func (m failingMachine) SinceBoot() (time.Duration, error) { return 0, m.reason }
+func (m failingMachine) Monotonic() (time.Duration, error) { return 0, m.reason }
+func (m failingMachine) BootTime() (time.Duration, error)  { return 0, m.reason }
 
 func TestUnreadableClocksAreReported(t *testing.T) {
 	failing := errors.New("no such clock")
--- a/internal/voter/voter.go
+++ b/internal/voter/voter.go
@@ -167,7 +167,7 @@
 	if former == "" {
 		return
 	}
-	if suppressed, allowed := v.moveLogLimit.Take(steadyclock.Now()); allowed {
+	if suppressed, allowed := v.moveLogLimit.Allow(steadyclock.Now()); allowed {
 		v.logger.WithFields(logrus.Fields{
 			logging.FieldNode: v.config.ID, "member": id, "former": former, "address": address, "left_out": suppressed,
 		}).Info("member_moved")
