--- a/internal/controlclient/source.go
+++ b/internal/controlclient/source.go
@@ -223,7 +223,7 @@
 
 // ExtendLease implements follower.Sink.
 func (s followerSink) ExtendLease(_ uint64, until time.Time) {
-	// The router may deregister before Run was called.
+	// The router may release its lease before Run was called.
 	if sink := s.source.sink(); sink != nil {
 		sink.ExtendLease(until)
 	}
--- a/internal/follower/call.go
+++ b/internal/follower/call.go
@@ -168,12 +168,12 @@
 	}
 }
 
-// applyLease applies the granted lease, unless the node has deregistered since
-// the call was sent.
+// applyLease applies the granted lease, unless the node has released its lease
+// since the call was sent.
 func (f *Follower) applyLease(sentAt time.Time, response *v1.SyncResponse) lease.Verdict {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.deregistered {
+	if f.released {
 		return lease.Empty
 	}
 	verdict := f.holder.Offer(lease.Grant{
@@ -188,8 +188,8 @@
 	return verdict
 }
 
-// sendDeregistration releases the lease at the upstream.
-func (f *Follower) sendDeregistration(ctx context.Context, upstream string) error {
+// sendRelease releases the lease at the upstream.
+func (f *Follower) sendRelease(ctx context.Context, upstream string) error {
 	request := &v1.SyncRequest{Node: nodeToWire(f.config.Node), Leaving: true}
 	if f.config.Node.Role == membership.RoleRelay {
 		return errors.New("a relay can't release the leases of its followers")
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -83,9 +83,9 @@
 	mutex  sync.Mutex
 	holder lease.Holder
 	// upstream is the address that granted the last lease.
-	upstream     string
-	deregistered bool
-	calls        callTracker
+	upstream string
+	released bool
+	calls    callTracker
 }
 
 // New returns a Follower without a plan and without a lease.
@@ -108,9 +108,9 @@
 	}, nil
 }
 
-// Run calls Sync until the context ends or Deregister is called.
+// Run calls Sync until the context ends or Release is called.
 func (f *Follower) Run(ctx context.Context) error {
-	for ctx.Err() == nil && !f.isDeregistered() {
+	for ctx.Err() == nil && !f.isReleased() {
 		outcome := f.call(ctx)
 		f.metrics.calls.WithLabelValues(outcome.label()).Inc()
 		f.recordLeaseChange(steadyclock.Now())
@@ -225,18 +225,18 @@
 	return f.upstream
 }
 
-func (f *Follower) isDeregistered() bool {
+func (f *Follower) isReleased() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.deregistered
+	return f.released
 }
 
-// Release deregisters the node: it ends the lease and releases it at the
-// upstream, so that no server waits for its expiry. The node must have stopped
-// admitting work before it calls Release.
+// Release ends the lease of the node and releases it at the upstream, so that no
+// server waits for its expiry. The node must have stopped admitting work before
+// it calls Release.
 func (f *Follower) Release(ctx context.Context) error {
 	f.mutex.Lock()
-	f.deregistered = true
+	f.released = true
 	f.holder.Release()
 	upstream := f.upstream
 	f.calls.interrupt()
@@ -245,5 +245,5 @@
 	if upstream == "" {
 		return nil
 	}
-	return f.sendDeregistration(ctx, upstream)
+	return f.sendRelease(ctx, upstream)
 }
--- a/internal/follower/handler.go
+++ b/internal/follower/handler.go
@@ -34,9 +34,9 @@
 	// expireInterval is how often the handler checks for children whose lease
 	// has lapsed.
 	expireInterval = 250 * time.Millisecond
-	// deregisteredRetention is how long a deregistered child is refused a lease.
-	// None of its calls is still in flight after this time.
-	deregisteredRetention = time.Minute
+	// releasedRetention is how long a child that released its lease is refused a
+	// new one. None of its calls is still in flight after this time.
+	releasedRetention = time.Minute
 )
 
 // HandlerConfig configures a Handler.
@@ -89,8 +89,8 @@
 	// publishedMachines is the version of the machine table at the last
 	// notification. Changes of the router table do not end held calls; they are
 	// sent with the next response, within the hold time. Otherwise every router
-	// that joins, deregisters or lapses would make all followers call at once,
-	// and a fleet short of CPU time would lose further leases through it.
+	// that joins, releases its lease or lapses would make all followers call at
+	// once, and a fleet short of CPU time would lose further leases through it.
 	publishedMachines uint64
 }
 
@@ -122,7 +122,7 @@
 		return nil, err
 	}
 	if message.GetLeaving() {
-		h.deregister(steadyclock.Now(), nodeFromWire(message.GetNode()))
+		h.releaseChild(steadyclock.Now(), nodeFromWire(message.GetNode()))
 		return connect.NewResponse(&v1.SyncResponse{}), nil
 	}
 	first := h.recordReports(steadyclock.Now(), message)
@@ -212,11 +212,11 @@
 	h.deps.Tables.Observe(now, membership.Observation{Address: wire.GetAddress(), State: state, Router: router})
 }
 
-// deregister releases the lease of a child.
-func (h *Handler) deregister(now time.Time, node membership.Node) {
+// releaseChild releases the lease of a child.
+func (h *Handler) releaseChild(now time.Time, node membership.Node) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.grantor.Release(now, childID(node), deregisteredRetention)
+	h.grantor.Release(now, childID(node), releasedRetention)
 	h.deps.Tables.LapseChild(now, node.Name)
 	delete(h.roles, node.Name)
 	h.routes.Remove(node.Name)
