--- a/internal/slicing/collect.go
+++ b/internal/slicing/collect.go
@@ -11,8 +11,8 @@
 	Failed   int
 	// MinCoverage is the minimum coverage: the fraction of the shards, 0 to 1, that an answer needs.
 	MinCoverage float64
-	// Cutoff is the soft deadline: from then on an answer with sufficient coverage is returned
-	// without waiting for more parts. Zero disables it.
+	// Cutoff is the time from which an answer with sufficient coverage is returned without
+	// waiting for more parts. Zero disables it.
 	Cutoff time.Time
 	// Deadline is when the answer is returned at the latest.
 	Deadline time.Time
@@ -28,8 +28,8 @@
 	}
 }
 
-// DueAtCutoff reports whether coverage was sufficient at the soft deadline, so that any time from
-// then until the answer is a delay of this router's own.
+// DueAtCutoff reports whether coverage was sufficient at the cutoff, so that any time from then
+// until the answer is a delay of this router's own.
 func (c *Collection) DueAtCutoff() bool {
 	return !c.Cutoff.IsZero() && !c.SufficientAt.IsZero() && !c.SufficientAt.After(c.Cutoff)
 }
@@ -55,10 +55,10 @@
 func (c *Collection) Decide(now time.Time) Decision {
 	pending := c.Total - c.Received - c.Failed
 	sufficient := c.Received > 0 && c.covers(c.Received)
-	pastSoftDeadline := !c.Cutoff.IsZero() && !now.Before(c.Cutoff)
+	pastCutoff := !c.Cutoff.IsZero() && !now.Before(c.Cutoff)
 	expired := !now.Before(c.Deadline)
 	switch {
-	case sufficient && (pending <= 0 || pastSoftDeadline || expired):
+	case sufficient && (pending <= 0 || pastCutoff || expired):
 		return Answer
 	case expired:
 		return FailTimeout
--- a/internal/slicing/slicing_test.go
+++ b/internal/slicing/slicing_test.go
@@ -327,20 +327,20 @@
 	})
 }
 
-func TestAnswerIsDueAtTheSoftDeadlineIfCoverageWasReached(t *testing.T) {
+func TestAnswerIsDueAtTheCutoffIfCoverageWasReached(t *testing.T) {
 	cut := time.Unix(1000, 0)
 	for name, sample := range map[string]struct {
 		parts []time.Duration
 		want  bool
 	}{
-		"none":                        {nil, false},
-		"too few":                     {[]time.Duration{-2}, false},
-		"enough before":               {[]time.Duration{-2, -1}, true},
-		"more after":                  {[]time.Duration{-2, -1, 1}, true},
-		"enough at the soft deadline": {[]time.Duration{-2, 0}, true},
-		"enough only later":           {[]time.Duration{-2, 1}, false},
-		"all of them later":           {[]time.Duration{1, 1, 1}, false},
-		"enough and one too":          {[]time.Duration{-3, -2, -1}, true},
+		"none":                 {nil, false},
+		"too few":              {[]time.Duration{-2}, false},
+		"enough before":        {[]time.Duration{-2, -1}, true},
+		"more after":           {[]time.Duration{-2, -1, 1}, true},
+		"enough at the cutoff": {[]time.Duration{-2, 0}, true},
+		"enough only later":    {[]time.Duration{-2, 1}, false},
+		"all of them later":    {[]time.Duration{1, 1, 1}, false},
+		"enough and one too":   {[]time.Duration{-3, -2, -1}, true},
 	} {
 		collection := slicing.Collection{Total: 3, MinCoverage: 0.6, Cutoff: cut, Deadline: cut.Add(time.Second)}
 		for _, after := range sample.parts {
@@ -362,18 +362,18 @@
 		at      time.Duration
 		want    slicing.Decision
 	}{
-		"nothing yet":                      {0, 0, 0, slicing.Wait},
-		"complete":                         {10, 0, time.Millisecond, slicing.Answer},
-		"complete but for failed":          {9, 1, time.Millisecond, slicing.Answer},
-		"enough, before the soft deadline": {9, 0, 99 * time.Millisecond, slicing.Wait},
-		"enough, at the soft deadline":     {9, 0, 100 * time.Millisecond, slicing.Answer},
-		"too few at the soft deadline":     {8, 0, 100 * time.Millisecond, slicing.Wait},
-		"out of reach":                     {5, 2, time.Millisecond, slicing.FailCoverage},
-		"too few at the deadline":          {8, 0, time.Second, slicing.FailTimeout},
-		"enough at the deadline":           {9, 0, time.Second, slicing.Answer},
-		"nothing at the deadline":          {0, 0, time.Second, slicing.FailTimeout},
-		"all failed":                       {0, 10, 0, slicing.FailCoverage},
-		"enough, after the soft deadline":  {9, 0, 500 * time.Millisecond, slicing.Answer},
+		"nothing yet":               {0, 0, 0, slicing.Wait},
+		"complete":                  {10, 0, time.Millisecond, slicing.Answer},
+		"complete but for failed":   {9, 1, time.Millisecond, slicing.Answer},
+		"enough, before the cutoff": {9, 0, 99 * time.Millisecond, slicing.Wait},
+		"enough, at the cutoff":     {9, 0, 100 * time.Millisecond, slicing.Answer},
+		"too few at the cutoff":     {8, 0, 100 * time.Millisecond, slicing.Wait},
+		"out of reach":              {5, 2, time.Millisecond, slicing.FailCoverage},
+		"too few at the deadline":   {8, 0, time.Second, slicing.FailTimeout},
+		"enough at the deadline":    {9, 0, time.Second, slicing.Answer},
+		"nothing at the deadline":   {0, 0, time.Second, slicing.FailTimeout},
+		"all failed":                {0, 10, 0, slicing.FailCoverage},
+		"enough, after the cutoff":  {9, 0, 500 * time.Millisecond, slicing.Answer},
 	} {
 		collection := slicing.Collection{Total: 10, Received: sample.in, Failed: sample.out, MinCoverage: 0.9, Cutoff: cut, Deadline: deadline}
 		require.Equal(t, sample.want, collection.Decide(start.Add(sample.at)), name)
