--- a/internal/controlclient/source.go
+++ b/internal/controlclient/source.go
@@ -123,8 +123,8 @@
 // Observe implements router.ConfigSource.
 func (s *Source) Observe(address netip.AddrPort, state query.MachineState) {
 	if s.recordObservation(address, membershipStates[state]) {
-		// The call in flight does not contain this state. Poke is called without
-		// s.mutex, because the follower calls the sink while it holds its own lock.
+		// The call in flight does not contain this state. Interrupt is called
+		// without s.mutex, because the follower calls the sink while it holds its own lock.
 		s.follower.Interrupt()
 	}
 }
--- a/internal/isolation/isolation.go
+++ b/internal/isolation/isolation.go
@@ -24,7 +24,7 @@
 
 // Round is the result of probes sent at about the same time.
 type Round struct {
-	// OwnZone counts the routers of the same zone that answered, Others those of other zones.
+	// OwnZone counts the routers of the same zone that answered, OtherZones those of other zones.
 	OwnZone    int
 	OtherZones int
 }
--- a/internal/remote/entry.go
+++ b/internal/remote/entry.go
@@ -84,7 +84,7 @@
 }
 
 // DueProbes returns the entries to probe now. The probe of each is in flight
-// until Probed reports its outcome.
+// until RecordProbe reports its outcome.
 func (r *Region) DueProbes(now time.Time) []netip.AddrPort {
 	var due []netip.AddrPort
 	for index := range r.entries {
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -35,7 +35,7 @@
 // Situation is the input of Decide.
 type Situation struct {
 	Phase Phase
-	// Elapsed is the time since the roll-out started, Inside the time since its phase did, and
+	// Elapsed is the time since the roll-out started, InPhase the time since its phase did, and
 	// Duration the time allowed for the whole roll-out.
 	Elapsed  time.Duration
 	InPhase  time.Duration
--- a/internal/scatter/events.go
+++ b/internal/scatter/events.go
@@ -266,7 +266,7 @@
 	Extras   int
 	// Denied counts the extra attempts that the budget denied.
 	Denied int
-	// MissingCount counts the calls without a part; Lacking describes the first few.
+	// MissingCount counts the calls without a part; MissingParts describes the first few.
 	MissingCount int
 	MissingParts []MissingPart
 }
--- a/internal/scatter/rollouts.go
+++ b/internal/scatter/rollouts.go
@@ -16,7 +16,7 @@
 type RolloutOutcome struct {
 	Service string
 	Route   string
-	// New says that the server runs the new version, Bad that the attempt failed.
+	// New says that the server runs the new version, Failed that the attempt failed.
 	New      bool
 	Failed   bool
 	Duration time.Duration
--- a/internal/steadyclock/steadyclock.go
+++ b/internal/steadyclock/steadyclock.go
@@ -6,7 +6,7 @@
 // received data for fresh. Now therefore adds the time by which CLOCK_BOOTTIME is ahead.
 //
 // Timers, contexts and connections of the standard library use the monotonic clock that
-// stops; Until, WithDeadline and Runtime convert to it.
+// stops; Until, WithDeadline and RuntimeDeadline convert to it.
 package steadyclock
 
 import (
