--- a/internal/directory/departing.go
+++ b/internal/directory/departing.go
@@ -12,10 +12,9 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// Heartbeat records a heartbeat of a server. A heartbeat in the leaving state is acknowledged,
-// by a nil error, only once a quorum has synced the departure; otherwise the error is
-// ErrUnavailable. ErrUnavailable is also returned for a start that this node can't tell from a
-// departed one.
+// Heartbeat records a heartbeat of a server. A heartbeat in the leaving state is acknowledged, by a
+// nil error, only once a quorum has synced the departure; otherwise the error is ErrUnavailable.
+// ErrUnavailable is also returned for an incarnation that this node can't tell from a departed one.
 func (n *Node) Heartbeat(ctx context.Context, instance registry.Instance) error {
 	if instance.State != registry.Leaving && !n.mayRegister(ctx, instance) {
 		return errors.Wrap(ErrUnavailable, "the state is not confirmed: a new start can't be told from one that left")
@@ -27,9 +26,9 @@
 	return nil
 }
 
-// mayRegister reports whether a heartbeat can be accepted. A departure that names no start
-// applies to the starts known before it, so before accepting an unknown start of a server that
-// keeps its name, this node's state must include every acknowledged departure.
+// mayRegister reports whether a heartbeat can be accepted. A departure that names no incarnation
+// applies to the incarnations known before it, so before accepting an unknown incarnation of a
+// server that keeps its name, this node's state must include every acknowledged departure.
 func (n *Node) mayRegister(ctx context.Context, instance registry.Instance) bool {
 	if instance.StartedAt == 0 {
 		return true // Its id is never reused.
@@ -41,9 +40,9 @@
 }
 
 // Depart records that a server is leaving or has failed. startTime, in ms since 1970 by the
-// server's clock, selects one start; 0 selects all starts known so far. It is acknowledged like
-// a leaving Heartbeat. With startTime 0 it is acknowledged only if some start is known, because
-// an unknown start can't be told from a later one.
+// server's clock, selects one incarnation; 0 selects all incarnations known so far. It is
+// acknowledged like a leaving Heartbeat. With startTime 0 it is acknowledged only if some
+// incarnation is known, because an unknown incarnation can't be told from a later one.
 func (n *Node) Depart(ctx context.Context, name string, startTime int64) error {
 	message, recorded := n.newDeparture(name, startTime)
 	if recorded {
@@ -51,7 +50,7 @@
 	}
 	receivedAt := steadyclock.Now()
 	if message.Name != "" && !message.Known {
-		n.queryStarts(ctx, &message)
+		n.queryIncarnations(ctx, &message)
 	}
 	err := n.onLeader(ctx, func(ctx context.Context) error { return n.departAsLeader(ctx, message) }, pathDepart, message, nil)
 	n.recordOperation("depart", receivedAt, err, logrus.Fields{"instance": message.ID, "starts": message.Starts})
@@ -69,55 +68,55 @@
 		// A name that is itself an id is never reused.
 		return message, state.hasDeparted(name) && len(starts) == 1 && starts[0] == name
 	}
-	message = departMessage{ID: registry.IncarnationID(name, startTime), Start: &departedStart{Name: name, StartTime: startTime}}
+	message = departMessage{ID: registry.IncarnationID(name, startTime), Start: &departedIncarnation{Name: name, StartTime: startTime}}
 	message.Starts = n.registry.Superseded(message.ID)
 	if !lo.Contains(starts, message.ID) {
-		// The server's heartbeats, if any, may not have named a start.
+		// The server's heartbeats, if any, may not have named an incarnation.
 		message.Starts = []string{name}
 	}
 	return message, state.hasDeparted(message.ID)
 }
 
-// knowsServer reports whether a departure of a server that names no start can be told from a
-// later start. Once the node is settled, the registry shows whether servers keep their names at
-// all. The caller holds the mutex.
+// knowsServer reports whether a departure of a server that names no incarnation can be told from a
+// later incarnation. Once the node is settled, the registry shows whether servers keep their names
+// at all. The caller holds the mutex.
 func (n *Node) knowsServer(name string) bool {
 	return n.registry.MayDepart(steadyclock.Now(), name) || n.settled && !n.registry.StableNames()
 }
 
-// startsTimeout bounds the query to the other nodes for the known starts of a server.
-const startsTimeout = 250 * time.Millisecond
+// incarnationsTimeout bounds the query to the other nodes for the known incarnations of a server.
+const incarnationsTimeout = 250 * time.Millisecond
 
-// startsRequest asks a node for the starts of a server that it knows.
-type startsRequest struct {
+// incarnationsRequest asks a node for the incarnations of a server that it knows.
+type incarnationsRequest struct {
 	Name string `json:"name"`
 }
 
-// startsReply reports whether a node knows a server, and which of its starts.
-type startsReply struct {
+// incarnationsReply reports whether a node knows a server, and which of its incarnations.
+type incarnationsReply struct {
 	Known  bool     `json:"heard"`
 	Starts []string `json:"starts,omitempty"`
 }
 
-// knownStarts answers another node that received a departure of a server unknown to it.
-func (n *Node) knownStarts(request startsRequest) startsReply {
+// knownIncarnations answers another node that received a departure of a server unknown to it.
+func (n *Node) knownIncarnations(request incarnationsRequest) incarnationsReply {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return startsReply{Known: n.registry.MayDepart(steadyclock.Now(), request.Name), Starts: n.registry.Incarnations(request.Name)}
+	return incarnationsReply{Known: n.registry.MayDepart(steadyclock.Now(), request.Name), Starts: n.registry.Incarnations(request.Name)}
 }
 
-// queryStarts queries all other nodes concurrently for the starts of a server and adds them to
-// its departure: a heartbeat acknowledged by another node reaches this one only with the next
-// share.
-func (n *Node) queryStarts(ctx context.Context, message *departMessage) {
+// queryIncarnations queries all other nodes concurrently for the incarnations of a server and adds
+// them to its departure: a heartbeat acknowledged by another node reaches this one only with the
+// next share.
+func (n *Node) queryIncarnations(ctx context.Context, message *departMessage) {
 	peers := n.peerAddresses()
-	replies := make(chan startsReply, len(peers))
-	callCtx, cancel := context.WithTimeout(ctx, startsTimeout)
+	replies := make(chan incarnationsReply, len(peers))
+	callCtx, cancel := context.WithTimeout(ctx, incarnationsTimeout)
 	defer cancel()
 	for _, address := range peers {
 		go func() {
-			var reply startsReply
-			if err := n.peers.call(callCtx, address, pathKnownStarts, startsRequest{Name: message.Name}, &reply); err != nil {
+			var reply incarnationsReply
+			if err := n.peers.call(callCtx, address, pathKnownIncarnations, incarnationsRequest{Name: message.Name}, &reply); err != nil {
 				n.logger.WithField("node", address).WithField("instance", message.Name).WithField("reason", err).Info("starts_not_told")
 			}
 			replies <- reply
@@ -130,7 +129,7 @@
 	}
 }
 
-// departAsLeader is Depart at the leader, which adds the starts that it knows.
+// departAsLeader is Depart at the leader, which adds the incarnations that it knows.
 func (n *Node) departAsLeader(ctx context.Context, message departMessage) error {
 	if !n.mayAcknowledge() {
 		return errNotFormed
@@ -143,7 +142,7 @@
 	return err
 }
 
-// departureCommand returns the log command for a departure, including the starts that the
+// departureCommand returns the log command for a departure, including the incarnations that the
 // leader knows, and whether the server is known.
 func (n *Node) departureCommand(message departMessage) (proposed command, known bool) {
 	n.mutex.Lock()
@@ -155,7 +154,7 @@
 		known = message.Known || n.knowsServer(message.Name)
 	}
 	if message.Start != nil {
-		proposed.Starts = []departedStart{*message.Start}
+		proposed.Starts = []departedIncarnation{*message.Start}
 		ids = append(ids, n.registry.Superseded(message.ID)...)
 	}
 	proposed.Departures = lo.Uniq(ids)
@@ -163,5 +162,5 @@
 }
 
 // errUnknownServer is an ErrUnavailable: the ids that routers know of the server are marked as
-// departed, but a later heartbeat would be accepted as a new start.
+// departed, but a later heartbeat would be accepted as a new incarnation.
 var errUnknownServer = &refusedError{detail: "no node that answers has heard of the server"}
--- a/internal/directory/doc.go
+++ b/internal/directory/doc.go
@@ -6,8 +6,9 @@
 //	document      the highest version that an operator stored wins; it is
 //	              acknowledged once a quorum has synced it, and read only after a
 //	              quorum confirmed the leader
-//	departures    acknowledged once a quorum has synced them; never reverted; without a
-//	              start, one applies to all starts known before it (registry.NameDeparture)
+//	departures    acknowledged once a quorum has synced them; never reverted; one that
+//	              names no incarnation applies to all those known before it
+//	              (registry.NameDeparture)
 //	heartbeats    soft state: any node accepts them and shares them with the other nodes
 //	group         formed by the first nodes; others join as learners, and replace
 //	              failed voters (formation.go)
--- a/internal/directory/machine.go
+++ b/internal/directory/machine.go
@@ -22,11 +22,12 @@
 	Version  uint64 `json:"version,omitempty"`
 	Document []byte `json:"document,omitempty"`
 	// Departures are ids of instances that get no new work; Names are servers that departed
-	// without naming a start.
+	// without naming an incarnation.
 	Departures []string `json:"departures,omitempty"`
 	Names      []string `json:"names,omitempty"`
-	// Starts are servers that departed and named a start: earlier starts depart with it.
-	Starts []departedStart `json:"starts,omitempty"`
+	// Starts are servers that departed and named an incarnation: earlier incarnations depart with
+	// it.
+	Starts []departedIncarnation `json:"starts,omitempty"`
 	// Formed reports that the group has once reached its size.
 	Formed bool `json:"formed,omitempty"`
 	// Evacuations are orders of operators, in the order in which they apply.
@@ -185,7 +186,7 @@
 	return m.state.Version, m.state.Document, m.changed
 }
 
-// hasDeparted reports whether a departure is recorded for the id of a start.
+// hasDeparted reports whether a departure is recorded for the id of an incarnation.
 func (m *stateMachine) hasDeparted(id string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -199,14 +200,14 @@
 	return m.departed.Includes(instance)
 }
 
-// mayHaveDeparted reports whether an instance may be an earlier start of a departed one.
+// mayHaveDeparted reports whether an instance may be an earlier incarnation of a departed one.
 func (m *stateMachine) mayHaveDeparted(instance registry.Instance) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.departed.Suspects(instance)
 }
 
-// serverDeparted reports whether any start of a server has departed.
+// serverDeparted reports whether any incarnation of a server has departed.
 func (m *stateMachine) serverDeparted(name string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/directory/peer_messages.go
+++ b/internal/directory/peer_messages.go
@@ -14,15 +14,15 @@
 // Paths of calls between nodes and from routers to nodes. They are internal and need not be
 // stable across releases within one deployment.
 const (
-	pathDeliver     = "/peer/deliver"
-	pathJoin        = "/peer/join"
-	pathShare       = "/peer/share"
-	pathRegistry    = "/peer/registry"
-	pathPut         = "/peer/put"
-	pathRead        = "/peer/read"
-	pathDepart      = "/peer/depart"
-	pathKnownStarts = "/peer/heard"
-	pathEvacuate    = "/peer/evacuate"
+	pathDeliver           = "/peer/deliver"
+	pathJoin              = "/peer/join"
+	pathShare             = "/peer/share"
+	pathRegistry          = "/peer/registry"
+	pathPut               = "/peer/put"
+	pathRead              = "/peer/read"
+	pathDepart            = "/peer/depart"
+	pathKnownIncarnations = "/peer/heard"
+	pathEvacuate          = "/peer/evacuate"
 	// pathEvacuations is for operators.
 	pathEvacuations = "/operator/evacuations"
 	// pathQuarantineLeader carries orders about requests that crash servers to the leader;
@@ -118,22 +118,22 @@
 
 // departMessage carries a departure to the leader.
 type departMessage struct {
-	// ID is the id of the start, or the server's name if no start is named.
+	// ID is the id of the incarnation, or the server's name if no incarnation is named.
 	ID string `json:"id"`
 	// Starts are further ids that depart.
 	Starts []string `json:"starts,omitempty"`
-	// Name is that of a server all of whose starts known so far depart; Known reports that the
-	// node that received the departure knows one.
+	// Name is that of a server all of whose incarnations known so far depart; Known reports that
+	// the node that received the departure knows one.
 	Name  string `json:"name,omitempty"`
 	Known bool   `json:"known,omitempty"`
-	// Start is the named start, or nil: earlier starts of its server depart with it.
-	Start *departedStart `json:"start,omitempty"`
+	// Start is the named incarnation, or nil: earlier incarnations of its server depart with it.
+	Start *departedIncarnation `json:"start,omitempty"`
 }
 
-// departedStart is a start of a server that departed, that is, one incarnation of its process.
-// It is identified by the server's name and its start time, in ms since 1970 by the server's
-// clock.
-type departedStart struct {
+// departedIncarnation is an incarnation of a server, that is, one run of its process, that
+// departed. It is identified by the server's name and its start time, in ms since 1970 by the
+// server's clock.
+type departedIncarnation struct {
 	Name      string `json:"name"`
 	StartTime int64  `json:"born"`
 }
@@ -224,7 +224,7 @@
 	Settled    bool     `json:"settled"`
 	Departed   []string `json:"departed,omitempty"`
 	Departures int      `json:"departures"`
-	// DepartedNames are departures that name no start.
+	// DepartedNames are departures that name no incarnation.
 	DepartedNames []registry.NameDeparture `json:"departed_names,omitempty"`
 	// Nodes are peer addresses of the group, to follow when this node fails.
 	Nodes []string `json:"nodes"`
--- a/internal/directory/peer_server.go
+++ b/internal/directory/peer_server.go
@@ -45,8 +45,8 @@
 	mux.Handle(pathDepart, handle(func(ctx context.Context, message departMessage) (struct{}, error) {
 		return struct{}{}, n.departAsLeader(ctx, message)
 	}))
-	mux.Handle(pathKnownStarts, handle(func(_ context.Context, request startsRequest) (startsReply, error) {
-		return n.knownStarts(request), nil
+	mux.Handle(pathKnownIncarnations, handle(func(_ context.Context, request incarnationsRequest) (incarnationsReply, error) {
+		return n.knownIncarnations(request), nil
 	}))
 	mux.Handle(pathEvacuate, handle(func(ctx context.Context, order evacuationOrder) (struct{}, error) {
 		return struct{}{}, n.evacuateAsLeader(ctx, order)
--- a/internal/directory/sharing.go
+++ b/internal/directory/sharing.go
@@ -34,10 +34,10 @@
 	n.repeatedHeartbeats[instance.ID] = instance.Sequence
 }
 
-// initialHeartbeats is how many heartbeats a start may send before a node accepts one: as many
-// nodes as may be lost at once may not answer, or reject it. An unknown start of a departed
-// server whose first accepted heartbeat is a later one may have stopped already, so it must
-// keep sending heartbeats before it gets work.
+// initialHeartbeats is how many heartbeats an incarnation may send before a node accepts one: as
+// many nodes as may be lost at once may not answer, or reject it. An unknown incarnation of a
+// departed server whose first accepted heartbeat is a later one may have stopped already, so it
+// must keep sending heartbeats before it gets work.
 func (n *Node) initialHeartbeats() uint64 { return uint64(n.config.Losses) + 1 }
 
 // logReplaced logs which instances were replaced by others. The caller holds the mutex.
--- a/internal/gateway/retired_servers.go
+++ b/internal/gateway/retired_servers.go
@@ -3,8 +3,8 @@
 import "github.com/martenstage/martenstage/internal/scatter"
 
 // retiredServers closes the kept connections to servers that get no more requests: removed
-// ones, and starts that a later start of the server has replaced. Connections of attempts in
-// flight are closed when these end.
+// ones, and incarnations that a later one of the server has replaced. Connections of attempts
+// in flight are closed when these end.
 type retiredServers struct {
 	forget func(id string)
 	// inFlight counts the attempts in flight at each server. retired are the retired servers
