--- a/internal/directory/quarantine.go
+++ b/internal/directory/quarantine.go
@@ -13,8 +13,8 @@
 	"github.com/martenstage/martenstage/internal/steadyclock"
 )
 
-// Lifetimes of standings. Ages count from when the current leader first held the record: they
-// restart with a new leader or a restart of all nodes, so that a standing never ends too early.
+// Lifetimes of statuses. Ages count from when the current leader first held the record: they
+// restart with a new leader or a restart of all nodes, so that a status never ends too early.
 const (
 	// quarantineLifetime is after how long a quarantined request may be tried at one server
 	// again, since the servers may have been fixed.
@@ -25,21 +25,21 @@
 	expiryInterval = 10 * time.Second
 )
 
-// maxOrders bounds the orders of one message.
+// maxOrders bounds the commands of one message.
 const maxOrders = 256
 
-// QuarantineOrders are orders of a router or an operator about requests that crash servers.
+// QuarantineOrders are commands of a router or an operator about requests that crash servers.
 type QuarantineOrders struct {
 	Orders []quarantine.Command `json:"orders"`
 }
 
-// QuarantineReply holds the outcome of each order, and the revision of the records after them.
+// QuarantineReply holds the outcome of each command, and the revision of the records after them.
 type QuarantineReply struct {
 	Revision uint64               `json:"revision"`
 	Outcomes []quarantine.Outcome `json:"outcomes"`
 }
 
-// Quarantine applies orders about requests that crash servers. Nil means that a quorum has
+// Quarantine applies commands about requests that crash servers. Nil means that a quorum has
 // synced them. Other outcomes are *routing.InvalidError (nothing was changed) and
 // ErrUnavailable (they may be in effect, now or later).
 func (n *Node) Quarantine(ctx context.Context, request QuarantineOrders) (QuarantineReply, error) {
@@ -86,7 +86,7 @@
 	return result.Quarantine, nil
 }
 
-// reportOutcome counts an order, and logs it with its evidence if it changed a standing.
+// reportOutcome counts a command, and logs it with its evidence if it changed a status.
 func (n *Node) reportOutcome(order quarantine.Command, outcome quarantine.Outcome) {
 	n.metrics.quarantineOrders.WithLabelValues(string(order.Kind)).Inc()
 	if outcome.Before == outcome.After {
@@ -99,7 +99,7 @@
 	}).Info("quarantine_changed")
 }
 
-// applyQuarantine applies orders. The caller holds the mutex.
+// applyQuarantine applies commands. The caller holds the mutex.
 func (m *stateMachine) applyQuarantine(orders []quarantine.Command) QuarantineReply {
 	outcomes := lo.Map(orders, func(order quarantine.Command, _ int) quarantine.Outcome { return m.state.Quarantine.Apply(order) })
 	return QuarantineReply{Revision: m.state.Quarantine.Revision, Outcomes: outcomes}
@@ -134,7 +134,7 @@
 }
 
 // LiftQuarantine has the node at a peer address end the suspicion or quarantine of a request,
-// and returns its former standing. Nil means that a quorum has synced it.
+// and returns its former status. Nil means that a quorum has synced it.
 func LiftQuarantine(ctx context.Context, address string, fingerprint quarantine.Fingerprint, by string) (quarantine.Status, error) {
 	var reply QuarantineReply
 	orders := QuarantineOrders{Orders: []quarantine.Command{{Kind: quarantine.Lift, Fingerprint: fingerprint, By: by}}}
@@ -153,7 +153,7 @@
 	since    time.Time
 }
 
-// expired updates the ages from the current records and returns the orders that end expired
+// expired updates the ages from the current records and returns the commands that end expired
 // ones.
 func (a quarantineAges) expired(now time.Time, records []quarantine.Record) []quarantine.Command {
 	present := make(map[quarantine.Fingerprint]bool, len(records))
@@ -181,7 +181,7 @@
 	return orders
 }
 
-// countQuarantine counts the records by standing if their revision differs from the last
+// countQuarantine counts the records by status if their revision differs from the last
 // counted one, and returns the current revision.
 func (n *Node) countQuarantine(state *stateMachine, counted uint64) uint64 {
 	records := state.quarantine()
@@ -191,7 +191,7 @@
 	return records.Revision
 }
 
-// runQuarantine expires standings at the leader.
+// runQuarantine expires statuses at the leader.
 func (n *Node) runQuarantine(ctx context.Context) {
 	ages := quarantineAges{}
 	runEvery(ctx, expiryInterval, func() {
--- a/internal/scatter/shedding_test.go
+++ b/internal/scatter/shedding_test.go
@@ -16,8 +16,8 @@
 type shedding struct{ calls, refused, failed int }
 
 // runShedding sends ten requests a second to a shard of 21 servers, of which 17 refuse
-// everything and the others answer in 28 ms: the load of a gatherer in a large fleet while 80
-// % of a service's servers shed load. It counts outcomes after a warm-up.
+// everything and the others answer in 28 ms: the load of a gatherer in a large fleet while
+// 80% of a service's servers shed load. It counts outcomes after a warm-up.
 //
 // The servers in the router's own zone come first, so that they are among those that shed.
 func runShedding(t *testing.T, near int, warmUp, over time.Duration) shedding {
